--- a/crates/guavawell-forward/src/ready.rs
+++ b/crates/guavawell-forward/src/admin.rs
@@ -23,12 +23,12 @@
 /// more.
 const ACQUIT_PATH: &str = "/suspects/acquit/";
 /// Largest head of a question, in bytes.
-const HEAD_BYTES: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Longest time that a connection of a prober stays idle.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers the balancer's probes and the collector's questions.
-pub async fn answer_probes(
+pub async fn serve_admin(
     router: Rc<ForwardRouter>,
     listener: Async<TcpListener>,
     metrics: PrometheusHandle,
@@ -38,7 +38,7 @@
         let router = Rc::clone(&router);
         let metrics = metrics.clone();
         let serve = async move {
-            if let Err(error) = serve_prober(&router, channel, &metrics).await {
+            if let Err(error) = serve_connection(&router, channel, &metrics).await {
                 log::debug!("a probe's connection ended: {error}");
             }
         };
@@ -47,20 +47,20 @@
     accept_all("probe", &listener, serve).await;
 }
 
-async fn serve_prober(
+async fn serve_connection(
     router: &ForwardRouter,
     mut channel: HttpChannel,
     metrics: &PrometheusHandle,
 ) -> Result<(), ChannelError> {
     loop {
-        let length = match within(IDLE, channel.head(HEAD_BYTES)).await {
+        let length = match within(IDLE_TIMEOUT, channel.head(MAX_HEAD_BYTES)).await {
             Ok(length) => length,
             Err(ChannelError::Closed | ChannelError::TimedOut) => return Ok(()),
             Err(error) => return Err(error),
         };
         let head = RequestHead::parse(&channel.received()[..length])?;
         channel.consume(length);
-        let (status, body) = answer(router, &head, metrics);
+        let (status, body) = respond(router, &head, metrics);
         let mut writer = HeadWriter::response(status, if status == 200 { "OK" } else { "No" });
         writer.field("Content-Type", b"text/plain; version=0.0.4");
         writer.field_of("Content-Length", body.len());
@@ -73,7 +73,11 @@
     }
 }
 
-fn answer(router: &ForwardRouter, head: &RequestHead, metrics: &PrometheusHandle) -> (u16, String) {
+fn respond(
+    router: &ForwardRouter,
+    head: &RequestHead,
+    metrics: &PrometheusHandle,
+) -> (u16, String) {
     match head.path() {
         "/metrics" => (200, metrics.render()),
         SUSPECTS_PATH => (200, router.poison.listing()),
--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -14,9 +14,8 @@
 use guavawell_core::forward::ServerPick;
 use guavawell_core::poison::OrganisationTag;
 
-use crate::answer::OpenAnswer;
-use crate::answer::PlainAnswer;
 use crate::clock::timer_span;
+use crate::connect::open_channel;
 use crate::crash::AbandonedAttempt;
 use crate::crash::AttemptWatch;
 use crate::http::BodyDecoder;
@@ -25,23 +24,24 @@
 use crate::http::HttpChannel;
 use crate::http::ResponseHead;
 use crate::http::within;
-use crate::judge::is_allowed;
-use crate::lease::ServerLease;
-use crate::open::open_channel;
+use crate::in_flight::InFlightGuard;
 use crate::relay::relay_plain;
 use crate::relay::relay_stream;
 use crate::request::request_bytes;
+use crate::response::BufferedResponse;
+use crate::response::IncomingResponse;
+use crate::retry::RequestProgress;
 use crate::router::ForwardRouter;
-use crate::send::RequestProgress;
+use crate::routing::is_allowed;
 use crate::serve::ForwardCall;
-use crate::words::take_words;
+use crate::server_status::apply_server_status;
 
 /// Largest head of a server's answer, in bytes.
-const ANSWER_HEAD_BYTES: usize = 32 * 1024;
+const MAX_RESPONSE_HEAD: usize = 32 * 1024;
 /// Pause between looks at whether a silent server deserves more time.
-const PATIENCE_STEP: ClockSpan = ClockSpan::from_millis(200);
+const WAIT_EXTENSION: ClockSpan = ClockSpan::from_millis(200);
 /// Largest answer to another request that is read past, in bytes.
-const STRAY_BYTES: usize = 256 * 1024;
+const MAX_STRAY_BODY: usize = 256 * 1024;
 
 /// What became of an attempt.
 #[derive(Debug)]
@@ -50,12 +50,12 @@
     /// be used again.
     Delivered(u16, bool),
     /// The caller's connection failed.
-    CallerLost,
+    CallerDisconnected,
     /// The answer broke off after its beginning was sent, and nothing can
     /// continue it.
-    Cut,
+    Truncated,
     /// No complete answer; the server's own failure if it told one.
-    Ended(AttemptEnd, Option<PlainAnswer>),
+    Ended(AttemptEnd, Option<BufferedResponse>),
 }
 
 /// Sends a request to a server and relays the answer.
@@ -69,7 +69,7 @@
     progress.tried.push(pick.server.clone());
     let memory = call.usage.worst_case().get();
     let suspect = router.poison.suspect(call.fingerprint);
-    let lease = ServerLease::new(router, pick, memory, suspect);
+    let guard = InFlightGuard::new(router, pick, memory, suspect);
     let began = router.clock.now();
     let Some(channel) = open_channel(router, call, &pick.server).await else {
         progress.unsent += 1;
@@ -78,7 +78,7 @@
             ClockSpan::from_millis(progress.unsent_time.as_millis() + passed.as_millis());
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
     };
-    let late = router.clock.left(call.ends_at) == ClockSpan::default();
+    let late = router.clock.left(call.deadline) == ClockSpan::default();
     if late || !router.takes_requests(&pick.server) || !is_allowed(router, call) {
         progress.unsent += 1;
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
@@ -89,8 +89,8 @@
     }
     progress.sent += 1;
     progress.suspicion = router.poison.mark(call.fingerprint);
-    let mut watch = AttemptWatch::new(router, abandoned(call, progress, &pick.server));
-    let outcome = exchange_and_relay(router, caller, call, pick, progress, channel, lease).await;
+    let mut watch = AttemptWatch::new(router, abandoned_attempt(call, progress, &pick.server));
+    let outcome = exchange_and_relay(router, caller, call, pick, progress, channel, guard).await;
     if !matches!(outcome, AttemptOutcome::Ended(AttemptEnd::Silent, _)) {
         watch.settle();
     }
@@ -99,7 +99,7 @@
 
 /// What is remembered of an attempt if nobody waits for its answer.
 #[must_use]
-pub fn abandoned(
+pub fn abandoned_attempt(
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
     server: &ServerLife,
@@ -121,56 +121,56 @@
     pick: &ServerPick,
     progress: &mut RequestProgress,
     channel: HttpChannel,
-    lease: ServerLease,
+    guard: InFlightGuard,
 ) -> AttemptOutcome {
     let before = progress.outcome.may_have_run;
     progress.outcome.may_have_run = true;
     if let Some(reservation) = &call.reservation {
         reservation.spend(call.usage.input);
     }
-    let answer = match exchange(router, call, progress, channel, lease).await {
-        Ok(answer) => answer,
+    let response = match exchange(router, call, progress, channel, guard).await {
+        Ok(response) => response,
         Err(end) => return AttemptOutcome::Ended(end, None),
     };
-    note_load(router, &answer);
-    if is_rejection(router, &answer.head) {
+    note_load(router, &response);
+    if is_rejection(router, &response.head) {
         progress.outcome.may_have_run = before;
-        note_rejection(router, &pick.server, answer);
+        note_rejection(router, &pick.server, response);
         return AttemptOutcome::Ended(AttemptEnd::Rejected, None);
     }
-    if call.route.streaming && answer.head.status == 200 {
-        relay_stream(router, caller, call, progress, answer).await
+    if call.route.streaming && response.head.status == 200 {
+        relay_stream(router, caller, call, progress, response).await
     } else {
-        relay_plain(router, caller, call, answer).await
+        relay_plain(router, caller, call, response).await
     }
 }
 
 /// Whether the server said that it did not run the request. A malformed
 /// request is the caller's to know.
 fn is_rejection(router: &ForwardRouter, head: &ResponseHead) -> bool {
-    let told = head.fields.get(router.settings.names.not_run).is_some();
-    head.status == 421 || (told && head.status != 400)
+    let not_run = head.fields.get(router.settings.names.not_run).is_some();
+    head.status == 421 || (not_run && head.status != 400)
 }
 
-fn note_rejection(router: &ForwardRouter, server: &ServerLife, answer: OpenAnswer) {
-    if answer.head.status == 421 {
+fn note_rejection(router: &ForwardRouter, server: &ServerLife, response: IncomingResponse) {
+    if response.head.status == 421 {
         // Another server has the address: this one is gone.
         let mut servers = router.servers.borrow_mut();
         servers.remove(server, ServerPhase::Leaving);
-        router.pool.borrow_mut().forget(server);
+        router.pool.borrow_mut().drop_connections(server);
     }
-    drop(answer);
+    drop(response);
 }
 
-fn note_load(router: &ForwardRouter, answer: &OpenAnswer) {
-    let Some(text) = answer.head.fields.get(router.settings.names.load) else {
+fn note_load(router: &ForwardRouter, response: &IncomingResponse) {
+    let Some(text) = response.head.fields.get(router.settings.names.load) else {
         return;
     };
     let mut numbers = text.split(',').map(|part| part.trim().parse::<u32>().ok());
     if let (Some(Some(running)), Some(Some(waiting))) = (numbers.next(), numbers.next()) {
         let now = router.clock.now();
-        answer
-            .lease
+        response
+            .guard
             .change(|server| server.report(now, running, waiting));
     }
 }
@@ -181,13 +181,13 @@
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
     mut channel: HttpChannel,
-    lease: ServerLease,
-) -> Result<OpenAnswer, AttemptEnd> {
-    let bytes = request_bytes(router, call, lease.server(), progress);
+    guard: InFlightGuard,
+) -> Result<IncomingResponse, AttemptEnd> {
+    let bytes = request_bytes(router, call, guard.server(), progress);
     let sent = Cell::new(false);
     let stray = Cell::new(false);
     let stream = channel.stream();
-    let to_head = call.request.head.method.as_ref() == "HEAD";
+    let is_head_request = call.request.head.method.as_ref() == "HEAD";
     let write = async {
         let written = (&*stream).write_all(&bytes).await;
         // A server may answer without reading the whole request, so a failure
@@ -198,16 +198,16 @@
     let read = async {
         let mut limit = attempt_limit(router, call, progress);
         loop {
-            let head = answer_head(&mut channel, to_head, |head| {
-                take_words(router, lease.server(), head);
-                let told = head.fields.get(router.settings.names.request);
-                let own = told.is_none_or(|told| told == call.id);
+            let head = response_head(&mut channel, is_head_request, |head| {
+                apply_server_status(router, guard.server(), head);
+                let echoed_id = head.fields.get(router.settings.names.request);
+                let own = echoed_id.is_none_or(|id| id == call.id);
                 stray.set(stray.get() || !own);
                 own
             });
             match within(timer_span(limit), head).await {
-                Err(ChannelError::TimedOut) if waits_on(router, call, &lease) => {
-                    limit = PATIENCE_STEP.min(router.clock.left(call.ends_at));
+                Err(ChannelError::TimedOut) if should_keep_waiting(router, call, &guard) => {
+                    limit = WAIT_EXTENSION.min(router.clock.left(call.deadline));
                 }
                 result => return result,
             }
@@ -215,25 +215,25 @@
     };
     // What the former life of a server that started again was sent is lost;
     // what it still answered goes first.
-    let ended = async {
-        lease.life_ended().await;
+    let restarted = async {
+        guard.server_restarted().await;
         Err(ChannelError::Closed)
     };
-    let result = write.or(read).or(ended).await;
+    let result = write.or(read).or(restarted).await;
     match result {
         Ok(head) => {
-            lease.heard();
-            Ok(OpenAnswer {
+            guard.note_received();
+            Ok(IncomingResponse {
                 decoder: BodyDecoder::new(head.framing),
                 clean: sent.get() && !stray.get(),
                 channel,
                 head,
-                lease,
+                guard,
             })
         }
         Err(error) => {
-            lease.rate(true);
-            log::debug!("no answer from {}: {error}", lease.server());
+            guard.note_outcome(true);
+            log::debug!("no answer from {}: {error}", guard.server());
             let timed_out = matches!(error, ChannelError::TimedOut);
             Err(if timed_out {
                 AttemptEnd::Silent
@@ -246,9 +246,13 @@
 
 /// Whether to go on waiting for a head after the attempt's time is over: a
 /// stream's server that talks to others is only busy.
-fn waits_on(router: &ForwardRouter, call: &ForwardCall<'_>, lease: &ServerLease) -> bool {
-    let left = router.clock.left(call.ends_at);
-    call.route.streaming && left > ClockSpan::default() && !lease.is_silent()
+fn should_keep_waiting(
+    router: &ForwardRouter,
+    call: &ForwardCall<'_>,
+    guard: &InFlightGuard,
+) -> bool {
+    let left = router.clock.left(call.deadline);
+    call.route.streaming && left > ClockSpan::default() && !guard.is_silent()
 }
 
 /// How long an attempt may go without the head of an answer.
@@ -257,7 +261,7 @@
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
 ) -> ClockSpan {
-    let left = router.clock.left(call.ends_at);
+    let left = router.clock.left(call.deadline);
     let last = progress.sent >= call.route.attempts || !router.poison.may_repeat(call.fingerprint);
     let times = &router.settings.times;
     let limit = match call.route.repeat {
@@ -275,14 +279,14 @@
 /// Reads the head of the answer that `is_own` tells to be the request's. Answers
 /// to other requests that come before it are read past; the connection is not
 /// used again after them.
-async fn answer_head(
+async fn response_head(
     channel: &mut HttpChannel,
-    to_head: bool,
+    is_head_request: bool,
     is_own: impl Fn(&ResponseHead) -> bool,
 ) -> Result<ResponseHead, ChannelError> {
     loop {
-        let length = channel.head(ANSWER_HEAD_BYTES).await?;
-        let head = ResponseHead::parse(&channel.received()[..length], to_head)?;
+        let length = channel.head(MAX_RESPONSE_HEAD).await?;
+        let head = ResponseHead::parse(&channel.received()[..length], is_head_request)?;
         channel.consume(length);
         if (100..200).contains(&head.status) {
             continue;
@@ -295,7 +299,7 @@
 }
 
 async fn skip_body(channel: &mut HttpChannel, head: &ResponseHead) -> Result<(), ChannelError> {
-    channel.body(head.framing, STRAY_BYTES).await?;
+    channel.body(head.framing, MAX_STRAY_BODY).await?;
     if head.framing == BodyFraming::UntilClose {
         // Nothing comes after it.
         return Err(ChannelError::Closed);
@@ -305,6 +309,6 @@
 
 /// The time until the request's end, for a step that must end by then.
 #[must_use]
-pub fn time_left(router: &ForwardRouter, ends_at: ClockTime) -> std::time::Duration {
-    timer_span(router.clock.left(ends_at))
+pub fn time_left(router: &ForwardRouter, deadline: ClockTime) -> std::time::Duration {
+    timer_span(router.clock.left(deadline))
 }
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -14,7 +14,7 @@
 use super::borrow::ShareEnd;
 use super::wait_until;
 use crate::clock::timer_span;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 
 /// Least and most time that a request waits for the store's answer.
 const LEAST_PATIENCE_MS: u64 = 150;
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub struct BudgetRefusal {
     /// The answer for the caller.
-    pub answer: RefusalAnswer,
+    pub answer: RefusalResponse,
     /// What the book said last.
     pub cause: ReserveAnswer,
     /// What it was decided by.
@@ -207,7 +207,7 @@
 
     fn explain(
         &self,
-        answer: RefusalAnswer,
+        answer: RefusalResponse,
         cause: ReserveAnswer,
         organisation: &OrganisationId,
         waited: ClockSpan,
@@ -290,10 +290,10 @@
         patience: ClockSpan,
         waited: ClockSpan,
         time_left: ClockSpan,
-    ) -> Result<ClockSpan, RefusalAnswer> {
+    ) -> Result<ClockSpan, RefusalResponse> {
         let cut_off = self.is_cut_off();
         let refuse =
-            |after| Err(RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(after));
+            |after| Err(RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(after));
         let left = ClockSpan::from_millis(patience.as_millis().saturating_sub(waited.as_millis()));
         match answer {
             answer if answer.is_used_up() => Err(refusal_of(answer)),
@@ -328,16 +328,16 @@
 }
 
 /// The refusal where waiting does not help.
-fn refusal_of(cause: ReserveAnswer) -> RefusalAnswer {
+fn refusal_of(cause: ReserveAnswer) -> RefusalResponse {
     match cause {
         ReserveAnswer::Exhausted => {
-            RefusalAnswer::new(ForwardRefusal::BudgetExhausted).after(RETRY_MOST)
+            RefusalResponse::new(ForwardRefusal::BudgetExhausted).after(RETRY_MOST)
         }
         // Only a top-up helps.
         ReserveAnswer::Frozen => {
-            RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(RETRY_MOST)
+            RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(RETRY_MOST)
         }
-        _ => RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(RETRY_UNKNOWN),
+        _ => RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(RETRY_UNKNOWN),
     }
 }
 
--- a/crates/guavawell-forward/src/door.rs
+++ b/crates/guavawell-forward/src/callers.rs
@@ -19,7 +19,7 @@
 use crate::http::HttpChannel;
 use crate::http::RequestHead;
 use crate::http::within;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
 use crate::serve::serve_request;
 
@@ -58,8 +58,8 @@
         let request = match receive(router, &mut channel, &limits).await {
             Ok(request) => request,
             Err(refusal) => {
-                if let Some(answer) = refusal {
-                    refuse_early(router, &channel, &answer).await;
+                if let Some(response) = refusal {
+                    refuse_unread(router, &channel, &response).await;
                 }
                 return;
             }
@@ -71,14 +71,14 @@
     }
 }
 
-async fn refuse_early(router: &ForwardRouter, channel: &HttpChannel, answer: &RefusalAnswer) {
-    let outcome = answer.refusal.as_str();
+async fn refuse_unread(router: &ForwardRouter, channel: &HttpChannel, response: &RefusalResponse) {
+    let outcome = response.refusal.as_str();
     metrics::counter!("guavawell_forward_requests_total", "outcome" => outcome).increment(1);
     let draft = guavawell_fleet::event::EventDraft::new("request.refused_unread")
         .field("outcome", outcome)
-        .field("status", answer.status());
+        .field("status", response.status());
     router.log.emit(draft);
-    if let Err(error) = answer.send(channel, None, false).await {
+    if let Err(error) = response.send(channel, None, false).await {
         log::debug!("a refusal was not delivered: {error}");
     }
 }
@@ -93,7 +93,7 @@
     router: &ForwardRouter,
     channel: &mut HttpChannel,
     limits: &ForwardLimits,
-) -> Result<ReceivedRequest, Option<RefusalAnswer>> {
+) -> Result<ReceivedRequest, Option<RefusalResponse>> {
     await_first_byte(channel, limits.idle_time).await?;
     let head = receive_head(channel, limits).await?;
     let received_at = router.clock.now();
@@ -108,7 +108,7 @@
 async fn await_first_byte(
     channel: &mut HttpChannel,
     limit: ClockSpan,
-) -> Result<(), Option<RefusalAnswer>> {
+) -> Result<(), Option<RefusalResponse>> {
     if !channel.received().is_empty() {
         return Ok(());
     }
@@ -122,7 +122,7 @@
 async fn receive_head(
     channel: &mut HttpChannel,
     limits: &ForwardLimits,
-) -> Result<RequestHead, Option<RefusalAnswer>> {
+) -> Result<RequestHead, Option<RefusalResponse>> {
     let head = within(
         timer_span(limits.head_time),
         channel.head(limits.head_bytes),
@@ -131,13 +131,13 @@
     let length = match head {
         Ok(length) => length,
         Err(ChannelError::HeadTooLong) => {
-            return Err(Some(RefusalAnswer::new(ForwardRefusal::HeadTooLarge)));
+            return Err(Some(RefusalResponse::new(ForwardRefusal::HeadTooLarge)));
         }
         Err(_) => return Err(None),
     };
     let parsed = RequestHead::parse(&channel.received()[..length]);
     channel.consume(length);
-    parsed.map_err(|_| Some(RefusalAnswer::new(ForwardRefusal::Malformed)))
+    parsed.map_err(|_| Some(RefusalResponse::new(ForwardRefusal::Malformed)))
 }
 
 async fn receive_body(
@@ -145,17 +145,17 @@
     channel: &mut HttpChannel,
     head: &RequestHead,
     limits: &ForwardLimits,
-) -> Result<Vec<u8>, Option<RefusalAnswer>> {
-    let refuse = |refusal| Err(Some(RefusalAnswer::new(refusal)));
-    let announced = match head.framing {
+) -> Result<Vec<u8>, Option<RefusalResponse>> {
+    let refuse = |refusal| Err(Some(RefusalResponse::new(refusal)));
+    let content_length = match head.framing {
         BodyFraming::Empty => return Ok(Vec::new()),
         BodyFraming::Length(length) => usize::try_from(length).unwrap_or(usize::MAX),
         BodyFraming::Chunked | BodyFraming::UntilClose => 0,
     };
-    if announced > limits.body_bytes {
+    if content_length > limits.body_bytes {
         return refuse(ForwardRefusal::BodyTooLarge);
     }
-    if router.held_bytes.get() + announced > router.settings.admission.body_bytes {
+    if router.held_bytes.get() + content_length > router.settings.admission.body_bytes {
         return refuse(ForwardRefusal::NoMemory);
     }
     if head.fields.has_token("expect", "100-continue") {
@@ -163,7 +163,7 @@
         sent.map_err(|_| None)?;
     }
     let mut decoder = BodyDecoder::new(head.framing);
-    let mut body = Vec::with_capacity(announced.min(64 * 1024));
+    let mut body = Vec::with_capacity(content_length.min(64 * 1024));
     loop {
         match within(BODY_TIME, channel.body_part(&mut decoder, &mut body)).await {
             Ok(_) if body.len() > limits.body_bytes => {
--- a/crates/guavawell-forward/src/clock.rs
+++ b/crates/guavawell-forward/src/clock.rs
@@ -62,11 +62,11 @@
 }
 
 /// Waits until a bell rings, for `limit` at most.
-pub async fn wait_until(bell: EventListener, limit: Duration) {
+pub async fn wait_until(notification: EventListener, limit: Duration) {
     let late = async {
         Timer::after(limit).await;
     };
-    bell.or(late).await;
+    notification.or(late).await;
 }
 
 /// Waits while a condition holds, for `patience` at most; whether it ended.
@@ -79,12 +79,12 @@
 ) -> bool {
     let until = clock.now() + patience;
     while condition() {
-        let bell = changed.listen();
+        let notification = changed.listen();
         let rest = clock.left(until);
         if rest == ClockSpan::ZERO {
             return false;
         }
-        wait_until(bell, timer_span(rest)).await;
+        wait_until(notification, timer_span(rest)).await;
     }
     true
 }
@@ -92,15 +92,15 @@
 /// Waits until something is due. `changed` rings whenever that may have changed.
 pub async fn wait_due(clock: &SteadyClock, changed: &Event, due: impl Fn() -> Option<ClockTime>) {
     loop {
-        let bell = changed.listen();
+        let notification = changed.listen();
         let Some(at) = due() else {
-            bell.await;
+            notification.await;
             continue;
         };
         let rest = clock.left(at);
         if rest == ClockSpan::ZERO {
             return;
         }
-        wait_until(bell, timer_span(rest)).await;
+        wait_until(notification, timer_span(rest)).await;
     }
 }
--- a/crates/guavawell-forward/src/open.rs
+++ b/crates/guavawell-forward/src/connect.rs
@@ -5,7 +5,7 @@
 use guavawell_core::forward::ServerLife;
 
 use crate::clock::timer_span;
-use crate::crash::refused;
+use crate::crash::note_refused;
 use crate::http::ChannelError;
 use crate::http::HttpChannel;
 use crate::router::ForwardRouter;
@@ -20,51 +20,51 @@
 ) -> Option<HttpChannel> {
     let times = &router.settings.times;
     let once = call.route.repeat == RepeatKind::Once;
-    let most_idle = if once { times.idle_once } else { times.idle };
+    let max_idle = if once { times.idle_once } else { times.idle };
     let now = router.clock.now();
-    let idle = router.pool.borrow_mut().take(server, now, most_idle);
+    let idle = router.pool.borrow_mut().take(server, now, max_idle);
     if idle.is_some() {
         return idle;
     }
     let address = router.servers.borrow().get(server)?.address;
-    let limit = router.connects.get().limit(&times.connect);
-    let limit = limit.min(router.clock.left(call.ends_at));
+    let limit = router.connect_pace.get().limit(&times.connect);
+    let limit = limit.min(router.clock.left(call.deadline));
     metrics::counter!("guavawell_forward_connections_total").increment(1);
     let began = router.clock.now();
-    let connected = HttpChannel::connect(address, timer_span(limit)).await;
-    note_pace(router, connected.as_ref().err(), began);
-    match connected {
+    let result = HttpChannel::connect(address, timer_span(limit)).await;
+    note_connect_time(router, result.as_ref().err(), began);
+    match result {
         Ok(channel) => Some(channel),
         Err(error) => {
             log::debug!("no connection to {server}: {error}");
-            note_unreached(router, server, &error);
+            note_connect_failure(router, server, &error);
             None
         }
     }
 }
 
 /// Takes note of how long the connection took, or that it did not stand in time.
-fn note_pace(router: &ForwardRouter, error: Option<&ChannelError>, began: ClockTime) {
-    let mut pace = router.connects.get();
+fn note_connect_time(router: &ForwardRouter, error: Option<&ChannelError>, began: ClockTime) {
+    let mut pace = router.connect_pace.get();
     if matches!(error, Some(ChannelError::TimedOut)) {
         pace.timed_out();
-        router.connected(None);
+        router.note_connect_time(None);
     } else {
         let took = router.clock.now().since(began);
         pace.answered(took);
-        router.connected(Some(took));
+        router.note_connect_time(Some(took));
     }
-    router.connects.set(pace);
+    router.connect_pace.set(pace);
 }
 
-fn note_unreached(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
+fn note_connect_failure(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
     if error.is_refusal() {
-        refused(router, server);
+        note_refused(router, server);
         return;
     }
     let now = router.clock.now();
     if let Some(entry) = router.servers.borrow_mut().get_mut(server) {
         entry.refuse(now);
     }
-    router.pool.borrow_mut().forget(server);
+    router.pool.borrow_mut().drop_connections(server);
 }
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -32,22 +32,22 @@
 
 /// Longest wait for a connection that tells: a refusal takes one way there and
 /// back, and a request that may be repeated waits for it.
-const CHECK_LIMIT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after which a connection that a server took is looked at again: a
 /// process of many connections closes all of them in less.
-const SECOND_LOOK: Duration = Duration::from_millis(50);
+const RECHECK_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for another request's look at the same server.
-const WAIT_LIMIT: ClockSpan = ClockSpan::from_millis(150);
+const SHARED_CHECK_TIMEOUT: ClockSpan = ClockSpan::from_millis(150);
 /// How long a look that found no crash stands for requests that broke off
 /// meanwhile.
-const STANDS: ClockSpan = ClockSpan::from_millis(20);
+const NO_CRASH_TTL: ClockSpan = ClockSpan::from_millis(20);
 /// How long before a crash an attempt may have been abandoned for the crash to
 /// count: requests wait at a busy server for about as long as they run.
-const ABANDONED_FOR: ClockSpan = ClockSpan::from_millis(2_000);
+const ABANDONED_TTL: ClockSpan = ClockSpan::from_millis(2_000);
 /// Abandoned attempts that are remembered: those of a second of a busy instance.
 const MAX_ABANDONED: usize = 256;
 /// How long looks are remembered.
-const REMEMBERED: ClockSpan = ClockSpan::from_millis(5_000);
+const CHECK_TTL: ClockSpan = ClockSpan::from_millis(5_000);
 
 /// One look at a server.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
     began: ClockTime,
     /// Whether it has crashed, once that is known.
     crashed: Cell<Option<bool>>,
-    known: Event,
+    finished: Event,
 }
 
 /// An attempt that ended before its server told anything: it took too long, or
@@ -80,26 +80,26 @@
     /// The last attempts that were abandoned, oldest first.
     abandoned: RefCell<VecDeque<(ClockTime, AbandonedAttempt)>>,
     /// Connections that servers took, to be looked at again.
-    taken: RefCell<Vec<(ServerLife, HttpChannel)>>,
-    bell: Event,
+    accepted: RefCell<Vec<(ServerLife, HttpChannel)>>,
+    accepted_event: Event,
 }
 
 impl CrashChecks {
     /// A look that still tells of the server now.
     fn find(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
         let mut checks = self.checks.borrow_mut();
-        checks.retain(|check| now.since(check.began) < REMEMBERED);
-        let tells = |check: &&Rc<CrashCheck>| {
+        checks.retain(|check| now.since(check.began) < CHECK_TTL);
+        let is_current = |check: &&Rc<CrashCheck>| {
             let age = now.since(check.began);
-            let stands = match check.crashed.get() {
+            let is_fresh = match check.crashed.get() {
                 Some(true) => true,
-                Some(false) => age < STANDS,
+                Some(false) => age < NO_CRASH_TTL,
                 // Older ones ended with the request that looked.
-                None => age < WAIT_LIMIT,
+                None => age < SHARED_CHECK_TIMEOUT,
             };
-            check.server == *server && stands
+            check.server == *server && is_fresh
         };
-        checks.iter().rev().find(tells).cloned()
+        checks.iter().rev().find(is_current).cloned()
     }
 
     fn begin(&self, server: &ServerLife, now: ClockTime) -> Rc<CrashCheck> {
@@ -107,7 +107,7 @@
             server: server.clone(),
             began: now,
             crashed: Cell::new(None),
-            known: Event::new(),
+            finished: Event::new(),
         });
         self.checks.borrow_mut().push(Rc::clone(&check));
         check
@@ -115,7 +115,7 @@
 
     /// Remembers an attempt for the case that its server crashes, or turns out
     /// to have crashed.
-    fn abandon(&self, now: ClockTime, attempt: AbandonedAttempt) {
+    fn remember_abandoned(&self, now: ClockTime, attempt: AbandonedAttempt) {
         let mut abandoned = self.abandoned.borrow_mut();
         if abandoned.len() >= MAX_ABANDONED {
             abandoned.pop_front();
@@ -126,12 +126,12 @@
     /// Attempts that were abandoned at a server shortly before it crashed.
     fn take_abandoned(&self, server: &ServerLife, now: ClockTime) -> Vec<AbandonedAttempt> {
         let mut abandoned = self.abandoned.borrow_mut();
-        abandoned.retain(|(at, _)| now.since(*at) < ABANDONED_FOR);
-        let (there, others): (VecDeque<_>, VecDeque<_>) = abandoned
+        abandoned.retain(|(at, _)| now.since(*at) < ABANDONED_TTL);
+        let (matching, others): (VecDeque<_>, VecDeque<_>) = abandoned
             .drain(..)
             .partition(|(_, attempt)| attempt.server == *server);
         *abandoned = others;
-        there.into_iter().map(|(_, attempt)| attempt).collect()
+        matching.into_iter().map(|(_, attempt)| attempt).collect()
     }
 }
 
@@ -163,18 +163,20 @@
     fn drop(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             let now = self.router.clock.now();
-            self.router.crashes.abandon(now, attempt);
+            self.router.crashes.remember_abandoned(now, attempt);
         }
     }
 }
 
 /// Takes note of an attempt that its server broke off: it counts at once if the
 /// server has crashed, and later if that turns out.
-pub async fn note_lost(router: &ForwardRouter, attempt: AbandonedAttempt) {
+pub async fn note_lost_attempt(router: &ForwardRouter, attempt: AbandonedAttempt) {
     if has_crashed(router, &attempt.server).await {
         router.poison.crashed(&attempt);
     } else {
-        router.crashes.abandon(router.clock.now(), attempt);
+        router
+            .crashes
+            .remember_abandoned(router.clock.now(), attempt);
     }
 }
 
@@ -186,39 +188,39 @@
     }
     let now = router.clock.now();
     if let Some(check) = router.crashes.find(server, now) {
-        return wait_for(&check).await;
+        return wait_for_result(&check).await;
     }
     let check = router.crashes.begin(server, now);
-    let crashed = look(router, server).await;
+    let crashed = probe_server(router, server).await;
     check.crashed.set(Some(crashed));
-    check.known.notify(usize::MAX);
+    check.finished.notify(usize::MAX);
     crashed
 }
 
 /// Waits for another request's look; if that request ended, nothing is known.
-async fn wait_for(check: &CrashCheck) -> bool {
-    let known = check.known.listen();
+async fn wait_for_result(check: &CrashCheck) -> bool {
+    let finished = check.finished.listen();
     if let Some(crashed) = check.crashed.get() {
         return crashed;
     }
-    wait_until(known, timer_span(WAIT_LIMIT)).await;
+    wait_until(finished, timer_span(SHARED_CHECK_TIMEOUT)).await;
     check.crashed.get().unwrap_or(false)
 }
 
-async fn look(router: &ForwardRouter, server: &ServerLife) -> bool {
+async fn probe_server(router: &ForwardRouter, server: &ServerLife) -> bool {
     let Some(address) = router.servers.borrow().get(server).map(|held| held.address) else {
         return false;
     };
     metrics::counter!("guavawell_forward_connections_total").increment(1);
-    match HttpChannel::connect(address, CHECK_LIMIT).await {
+    match HttpChannel::connect(address, CONNECT_TIMEOUT).await {
         Ok(channel) => {
-            let taken = (server.clone(), channel);
-            router.crashes.taken.borrow_mut().push(taken);
-            router.crashes.bell.notify(usize::MAX);
+            let accepted = (server.clone(), channel);
+            router.crashes.accepted.borrow_mut().push(accepted);
+            router.crashes.accepted_event.notify(usize::MAX);
             false
         }
         Err(error) if error.is_refusal() => {
-            refused(router, server);
+            note_refused(router, server);
             true
         }
         Err(error) => {
@@ -230,14 +232,14 @@
 
 /// Looks again at servers that took a connection, for as long as the process
 /// lives. One that closed it and refuses the next has crashed.
-pub async fn look_again(router: Rc<ForwardRouter>) {
+pub async fn recheck_connections(router: Rc<ForwardRouter>) {
     loop {
-        let bell = router.crashes.bell.listen();
-        if router.crashes.taken.borrow().is_empty() {
-            bell.await;
+        let accepted_event = router.crashes.accepted_event.listen();
+        if router.crashes.accepted.borrow().is_empty() {
+            accepted_event.await;
         }
-        Timer::after(SECOND_LOOK).await;
-        for (server, channel) in router.crashes.taken.take() {
+        Timer::after(RECHECK_DELAY).await;
+        for (server, channel) in router.crashes.accepted.take() {
             let now = router.clock.now();
             if channel.is_quiet() {
                 let idle = router.settings.times.idle;
@@ -252,9 +254,9 @@
             let Some(address) = address else {
                 continue;
             };
-            let again = HttpChannel::connect(address, CHECK_LIMIT).await;
+            let again = HttpChannel::connect(address, CONNECT_TIMEOUT).await;
             if again.is_err_and(|error| error.is_refusal()) {
-                refused(&router, &server);
+                note_refused(&router, &server);
             }
         }
     }
@@ -262,7 +264,7 @@
 
 /// A server refused a connection: others are asked first for a while, and what
 /// was abandoned there lately is held against the requests.
-pub fn refused(router: &ForwardRouter, server: &ServerLife) {
+pub fn note_refused(router: &ForwardRouter, server: &ServerLife) {
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
     let mut leaves = false;
@@ -271,7 +273,7 @@
         leaves = entry.phase == ServerPhase::Leaving;
     }
     drop(servers);
-    router.pool.borrow_mut().forget(server);
+    router.pool.borrow_mut().drop_connections(server);
     let abandoned = router.crashes.take_abandoned(server, now);
     for attempt in abandoned.iter().filter(|_| !leaves) {
         router.poison.crashed(attempt);
--- a/crates/guavawell-forward/src/watch.rs
+++ b/crates/guavawell-forward/src/housekeeping.rs
@@ -11,18 +11,18 @@
 use crate::router::ForwardRouter;
 
 /// Pause between looks.
-const TICK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How much longer a pause may take before the process counts as one that did
 /// not run.
 const PAUSE_SLACK: ClockSpan = ClockSpan::from_millis(300);
 
 /// Looks for as long as the process lives.
-pub async fn watch(router: Rc<ForwardRouter>) {
+pub async fn run_housekeeping(router: Rc<ForwardRouter>) {
     let mut before = router.clock.boot_now();
     loop {
-        Timer::after(TICK).await;
+        Timer::after(CHECK_INTERVAL).await;
         let now = router.clock.boot_now();
-        note_pause(&router, now.since(before));
+        report_pause(&router, now.since(before));
         before = now;
         sweep(&router);
         router.configs.report_age();
@@ -31,14 +31,14 @@
 
 /// Tells of a time in which the process did not run, or the machine was
 /// suspended: what callers sent meanwhile waited.
-fn note_pause(router: &ForwardRouter, passed: ClockSpan) {
-    let meant = u64::try_from(TICK.as_millis()).unwrap_or(u64::MAX);
-    let lost = passed.as_millis().saturating_sub(meant);
-    if lost <= PAUSE_SLACK.as_millis() {
+fn report_pause(router: &ForwardRouter, passed: ClockSpan) {
+    let expected = u64::try_from(CHECK_INTERVAL.as_millis()).unwrap_or(u64::MAX);
+    let overrun = passed.as_millis().saturating_sub(expected);
+    if overrun <= PAUSE_SLACK.as_millis() {
         return;
     }
     metrics::counter!("guavawell_forward_pauses_total").increment(1);
-    let draft = EventDraft::new("process.paused").field("for_ms", lost);
+    let draft = EventDraft::new("process.paused").field("for_ms", overrun);
     router.log.emit(draft);
 }
 
--- a/crates/guavawell-forward/src/lease.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -12,7 +12,7 @@
 
 /// Counts a request at a server while it runs there.
 #[derive(Debug)]
-pub struct ServerLease {
+pub struct InFlightGuard {
     router: Rc<ForwardRouter>,
     server: ServerLife,
     unread: Cell<u64>,
@@ -21,7 +21,7 @@
     suspect: Option<RequestFingerprint>,
 }
 
-impl ServerLease {
+impl InFlightGuard {
     /// Counts a request that is about to be sent.
     #[must_use]
     pub fn new(
@@ -51,7 +51,7 @@
     }
 
     /// Bytes of the server were received.
-    pub fn heard(&self) {
+    pub fn note_received(&self) {
         let now = self.router.clock.now();
         self.change(|server| server.health.heard_at = now);
     }
@@ -76,24 +76,24 @@
 
     /// Waits until a later life of the server is known: no answer will come
     /// from this one.
-    pub async fn life_ended(&self) {
+    pub async fn server_restarted(&self) {
         loop {
-            let reborn = self.router.reborn.listen();
-            if self.is_succeeded() {
+            let restart_event = self.router.restart_event.listen();
+            if self.has_restarted() {
                 return;
             }
-            reborn.await;
+            restart_event.await;
         }
     }
 
-    fn is_succeeded(&self) -> bool {
+    fn has_restarted(&self) -> bool {
         let servers = self.router.servers.borrow();
         let newest = servers.newest(&self.server.id);
         newest.is_some_and(|entry| entry.life.born > self.server.born)
     }
 
     /// The outcome, where the server could have served the request.
-    pub fn rate(&self, failed: bool) {
+    pub fn note_outcome(&self, failed: bool) {
         let now = self.router.clock.now();
         self.change(|server| server.rate(now, failed));
     }
@@ -106,17 +106,17 @@
     }
 }
 
-impl Drop for ServerLease {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let unread = self.unread.get();
         let memory = self.memory;
         self.change(|server| {
             server.finish(unread, memory);
-            let place = server
+            let index = server
                 .suspects
                 .iter()
                 .position(|held| Some(*held) == self.suspect);
-            place.map(|place| server.suspects.swap_remove(place));
+            index.map(|index| server.suspects.swap_remove(index));
         });
     }
 }
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -11,7 +11,7 @@
 const MAX_IDLE: usize = 48;
 /// Part of the idle time named by a server that is made use of, in percent:
 /// it may close earlier than it says.
-const IDLE_PART: u64 = 60;
+const KEEP_ALIVE_PERCENT: u64 = 60;
 
 #[derive(Debug)]
 struct IdleChannel {
@@ -28,17 +28,17 @@
 }
 
 impl ConnectionPool {
-    /// Takes a connection that was idle for `most_idle` at most.
+    /// Takes a connection that was idle for `max_idle` at most.
     pub fn take(
         &mut self,
         server: &ServerLife,
         now: ClockTime,
-        most_idle: ClockSpan,
+        max_idle: ClockSpan,
     ) -> Option<HttpChannel> {
-        let place = self.servers.binary_search_by(|(id, _)| id.cmp(server));
-        let idle = &mut self.servers[place.ok()?].1;
+        let index = self.servers.binary_search_by(|(id, _)| id.cmp(server));
+        let idle = &mut self.servers[index.ok()?].1;
         while let Some(entry) = idle.pop() {
-            if now.since(entry.since) > most_idle {
+            if now.since(entry.since) > max_idle {
                 idle.push(entry);
                 return None;
             }
@@ -57,14 +57,14 @@
         now: ClockTime,
         keep: ClockSpan,
     ) {
-        let place = match self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
-            Ok(place) => place,
-            Err(place) => {
-                self.servers.insert(place, (server.clone(), Vec::new()));
-                place
+        let index = match self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
+            Ok(index) => index,
+            Err(index) => {
+                self.servers.insert(index, (server.clone(), Vec::new()));
+                index
             }
         };
-        let idle = &mut self.servers[place].1;
+        let idle = &mut self.servers[index].1;
         if idle.len() < MAX_IDLE {
             idle.push(IdleChannel {
                 channel,
@@ -75,9 +75,9 @@
     }
 
     /// Drops all connections to a server.
-    pub fn forget(&mut self, server: &ServerLife) {
-        if let Ok(place) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
-            self.servers.remove(place);
+    pub fn drop_connections(&mut self, server: &ServerLife) {
+        if let Ok(index) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
+            self.servers.remove(index);
         }
     }
 
@@ -93,13 +93,13 @@
 
 /// How long a connection may stay idle by its server's word.
 #[must_use]
-pub fn keep_span(fields: &FieldList, default: ClockSpan) -> ClockSpan {
-    let told = fields.get("keep-alive").and_then(|value| {
+pub fn keep_alive_span(fields: &FieldList, default: ClockSpan) -> ClockSpan {
+    let timeout = fields.get("keep-alive").and_then(|value| {
         let mut parts = value.split(',').map(str::trim);
         let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
         seconds.parse::<u64>().ok()
     });
-    told.map_or(default, |seconds| {
-        ClockSpan::from_millis(seconds * 1_000 * IDLE_PART / 100)
+    timeout.map_or(default, |seconds| {
+        ClockSpan::from_millis(seconds * 1_000 * KEEP_ALIVE_PERCENT / 100)
     })
 }
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -19,28 +19,28 @@
 
 use crate::budget::BudgetRefusal;
 use crate::budget::TokenReservation;
+use crate::callers::ReceivedRequest;
 use crate::clock::timer_span;
-use crate::door::ReceivedRequest;
-use crate::judge::RETRY_NO_CONFIG;
-use crate::judge::find_route;
-use crate::judge::identify;
-use crate::judge::note_config;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
+use crate::routing::RETRY_NO_CONFIG;
+use crate::routing::find_route;
+use crate::routing::identify;
+use crate::routing::note_config;
 use crate::serve::ForwardCall;
 
 /// How long a request waits for a process that has just started to read its
 /// configuration and servers: that takes 25 ms where the platform answers, and
 /// callers that lost their connections to the process before are there at once.
 /// After a stop of all instances 43 to 50 requests came within these 25 ms.
-const START_PATIENCE: ClockSpan = ClockSpan::from_millis(300);
+const MAX_START_WAIT: ClockSpan = ClockSpan::from_millis(300);
 /// How long a request waits for an answer of the store that is overdue: a process
 /// that did not run, or lost a connection meanwhile, has it sooner.
-const CHECK_PATIENCE: ClockSpan = ClockSpan::from_millis(250);
+const MAX_OVERDUE_WAIT: ClockSpan = ClockSpan::from_millis(250);
 /// Most of a request's time that may go into one of its waits before it is sent,
 /// as one part in so many.
-const WAIT_PARTS: u64 = 4;
+const WAIT_DIVISOR: u64 = 4;
 /// Retry-After where bodies fill the memory set aside for them.
 const RETRY_NO_MEMORY: ClockSpan = ClockSpan::from_millis(500);
 
@@ -54,11 +54,11 @@
     request: &'a ReceivedRequest,
     id: &'a str,
     record: &RequestRecord,
-) -> Result<ForwardCall<'a>, RefusalAnswer> {
-    await_start(router, request).await?;
-    await_check(router, request).await?;
+) -> Result<ForwardCall<'a>, RefusalResponse> {
+    wait_for_start(router, request).await?;
+    wait_for_overdue_state(router, request).await?;
     let Some(config) = router.configs.current() else {
-        return Err(RefusalAnswer::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG));
+        return Err(RefusalResponse::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG));
     };
     note_config(router, &config, record);
     let route = find_route(router, &config, request)?;
@@ -70,17 +70,17 @@
     let fingerprint = fingerprint_of(request, organisation.as_ref());
     record.note("fingerprint", fingerprint);
     let (usage, shape) = read_prompt(router, request)?;
-    let ends_at = end_of(router, &route, request)?;
-    let left = router.clock.left(ends_at);
-    let patience = ClockSpan::from_millis(left.as_millis() / WAIT_PARTS);
+    let deadline = request_deadline(router, &route, request)?;
+    let left = router.clock.left(deadline);
+    let patience = ClockSpan::from_millis(left.as_millis() / WAIT_DIVISOR);
     if let Some(span) = router.poison.judge(fingerprint, patience).await {
-        return Err(RefusalAnswer::new(ForwardRefusal::CrashesServers).after(span));
+        return Err(RefusalResponse::new(ForwardRefusal::CrashesServers).after(span));
     }
-    if !router.can_finish(ends_at) {
+    if !router.can_finish(deadline) {
         // Another instance can take it at once.
-        return Err(RefusalAnswer::new(ForwardRefusal::Leaving).after(ClockSpan::default()));
+        return Err(RefusalResponse::new(ForwardRefusal::Leaving).after(ClockSpan::default()));
     }
-    check_room(router, ends_at)?;
+    check_admission(router, deadline)?;
     let service = route.service(fastrand::u64(..)).clone();
     record.note("service", &service);
     let engine = config.service(&service).and_then(|entry| entry.engine);
@@ -89,7 +89,7 @@
         &config,
         organisation.as_ref(),
         usage,
-        ends_at,
+        deadline,
         record,
     )
     .await?;
@@ -104,51 +104,51 @@
         organisation,
         usage,
         shape,
-        ends_at,
+        deadline,
         reservation: reservation.map(Rc::new),
     })
 }
 
 /// Waits a moment for what a process reads first.
-async fn await_start(
+async fn wait_for_start(
     router: &ForwardRouter,
     request: &ReceivedRequest,
-) -> Result<(), RefusalAnswer> {
-    if router.is_informed() {
+) -> Result<(), RefusalResponse> {
+    if router.has_initial_state() {
         return Ok(());
     }
-    let patience = patience(router, request, START_PATIENCE)?;
+    let patience = patience(router, request, MAX_START_WAIT)?;
     let late = async {
         Timer::after(timer_span(patience)).await;
     };
-    router.wait_informed().or(late).await;
+    router.wait_for_initial_state().or(late).await;
     Ok(())
 }
 
 /// Waits a moment for news of the configuration and of servers that are overdue.
-async fn await_check(
+async fn wait_for_overdue_state(
     router: &ForwardRouter,
     request: &ReceivedRequest,
-) -> Result<(), RefusalAnswer> {
+) -> Result<(), RefusalResponse> {
     if !router.configs.is_awaited() && !router.servers_awaited() {
         return Ok(());
     }
-    let patience = patience(router, request, CHECK_PATIENCE)?;
+    let patience = patience(router, request, MAX_OVERDUE_WAIT)?;
     let until = router.clock.now() + patience;
     router.configs.await_check(patience).await;
     router.await_servers(router.clock.left(until)).await;
     Ok(())
 }
 
-/// A wait of `most`, or less where the request has little time.
+/// A wait of `max_wait`, or less where the request has little time.
 fn patience(
     router: &ForwardRouter,
     request: &ReceivedRequest,
-    most: ClockSpan,
-) -> Result<ClockSpan, RefusalAnswer> {
-    let told = told_time(router, request)?;
-    let part = told.map(|span| ClockSpan::from_millis(span.as_millis() / WAIT_PARTS));
-    Ok(part.map_or(most, |part| part.min(most)))
+    max_wait: ClockSpan,
+) -> Result<ClockSpan, RefusalResponse> {
+    let caller_limit = caller_time_left(router, request)?;
+    let share = caller_limit.map(|span| ClockSpan::from_millis(span.as_millis() / WAIT_DIVISOR));
+    Ok(share.map_or(max_wait, |share| share.min(max_wait)))
 }
 
 fn fingerprint_of(
@@ -163,10 +163,10 @@
 fn read_prompt(
     router: &ForwardRouter,
     request: &ReceivedRequest,
-) -> Result<(TokenUsage, PromptShape), RefusalAnswer> {
+) -> Result<(TokenUsage, PromptShape), RefusalResponse> {
     let names = &router.settings.names;
     let fields = &request.head.fields;
-    let malformed = || RefusalAnswer::new(ForwardRefusal::Malformed);
+    let malformed = || RefusalResponse::new(ForwardRefusal::Malformed);
     let usage = match fields.get(names.usage) {
         Some(text) => text.parse().map_err(|_| malformed())?,
         None => TokenUsage::default(),
@@ -179,21 +179,21 @@
 }
 
 /// The earlier of the caller's and the operator's limit.
-fn end_of(
+fn request_deadline(
     router: &ForwardRouter,
     route: &RouteEntry,
     request: &ReceivedRequest,
-) -> Result<ClockTime, RefusalAnswer> {
+) -> Result<ClockTime, RefusalResponse> {
     let limit = request.received_at + route.time_limit;
-    let told = told_time(router, request)?;
-    Ok(told.map_or(limit, |span| limit.min(request.received_at + span)))
+    let caller_limit = caller_time_left(router, request)?;
+    Ok(caller_limit.map_or(limit, |span| limit.min(request.received_at + span)))
 }
 
 /// How long the caller waits, if it says so.
-fn told_time(
+fn caller_time_left(
     router: &ForwardRouter,
     request: &ReceivedRequest,
-) -> Result<Option<ClockSpan>, RefusalAnswer> {
+) -> Result<Option<ClockSpan>, RefusalResponse> {
     let name = router.settings.names.time_left;
     let Some(text) = request.head.fields.get(name) else {
         return Ok(None);
@@ -201,17 +201,17 @@
     let left: f64 = text
         .trim()
         .parse()
-        .map_err(|_| RefusalAnswer::new(ForwardRefusal::Malformed))?;
+        .map_err(|_| RefusalResponse::new(ForwardRefusal::Malformed))?;
     Ok(Some(ClockSpan::from_millis(whole(left))))
 }
 
-fn check_room(router: &ForwardRouter, ends_at: ClockTime) -> Result<(), RefusalAnswer> {
+fn check_admission(router: &ForwardRouter, deadline: ClockTime) -> Result<(), RefusalResponse> {
     let admission = &router.settings.admission;
-    let left = router.clock.left(ends_at);
+    let left = router.clock.left(deadline);
     // This request counts among those held.
     let held = router.held_requests.get().saturating_sub(1);
     admit(admission, held, router.held_bytes.get(), left)
-        .map_err(|refusal| RefusalAnswer::new(refusal).after(RETRY_NO_MEMORY))
+        .map_err(|refusal| RefusalResponse::new(refusal).after(RETRY_NO_MEMORY))
 }
 
 async fn reserve(
@@ -219,9 +219,9 @@
     config: &ForwardConfig,
     organisation: Option<&(OrganisationId, Option<u8>)>,
     usage: TokenUsage,
-    ends_at: ClockTime,
+    deadline: ClockTime,
     record: &RequestRecord,
-) -> Result<Option<TokenReservation>, RefusalAnswer> {
+) -> Result<Option<TokenReservation>, RefusalResponse> {
     let Some((id, _)) = organisation else {
         return Ok(None);
     };
@@ -231,21 +231,21 @@
     let Some(paid) = paid.filter(|_| worst > TokenCount::ZERO) else {
         return Ok(None);
     };
-    let left = router.clock.left(ends_at);
+    let left = router.clock.left(deadline);
     let reserved = router.budgets.reserve(id, worst, left).await;
     reserved.map(Some).map_err(|refusal| {
-        note_budget(record, worst, &refusal);
+        note_budget_refusal(record, worst, &refusal);
         if refusal.facts.paid < paid.get() {
             // More was paid than the store told this process yet.
             let after = refusal.answer.retry_after.unwrap_or_default();
-            return RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(after);
+            return RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(after);
         }
         refusal.answer
     })
 }
 
 /// Notes what a reservation was turned down by.
-fn note_budget(record: &RequestRecord, worst: TokenCount, refusal: &BudgetRefusal) {
+fn note_budget_refusal(record: &RequestRecord, worst: TokenCount, refusal: &BudgetRefusal) {
     let facts = &refusal.facts;
     record.note("budget", refusal.cause.as_str());
     record.note("budget_needed", worst);
--- a/crates/guavawell-forward/src/record.rs
+++ b/crates/guavawell-forward/src/record.rs
@@ -81,7 +81,7 @@
     }
 
     /// A stream ended before it was complete.
-    pub fn cut(&self) {
+    pub fn truncated(&self) {
         self.end("stream_cut", 200);
     }
 
--- a/crates/guavawell-forward/src/refuse.rs
+++ b/crates/guavawell-forward/src/refusal.rs
@@ -11,7 +11,7 @@
 
 /// An answer of the router's own.
 #[derive(Clone, Debug)]
-pub struct RefusalAnswer {
+pub struct RefusalResponse {
     /// The reason.
     pub refusal: ForwardRefusal,
     /// The request may have run, so the status must not deny it.
@@ -20,7 +20,7 @@
     pub retry_after: Option<ClockSpan>,
 }
 
-impl RefusalAnswer {
+impl RefusalResponse {
     /// A refusal of a request that surely has not run.
     #[must_use]
     pub const fn new(refusal: ForwardRefusal) -> Self {
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -7,27 +7,27 @@
 use guavawell_core::forward::RepeatKind;
 use guavawell_core::id::TokenCount;
 
-use crate::answer::OpenAnswer;
-use crate::answer::PlainAnswer;
-use crate::answer::copy_fields;
 use crate::attempt::AttemptOutcome;
 use crate::attempt::time_left;
 use crate::clock::timer_span;
-use crate::events::scan_events;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::within;
 use crate::http::write_chunk;
+use crate::response::BufferedResponse;
+use crate::response::IncomingResponse;
+use crate::response::copy_fields;
+use crate::retry::RequestProgress;
 use crate::router::ForwardRouter;
-use crate::send::RequestProgress;
 use crate::serve::ForwardCall;
+use crate::sse::scan_events;
 
 /// Largest plain answer that is held back until it is whole, in bytes; up to
 /// here a spoiled answer can be replaced by another server's.
-const HELD_ANSWER: usize = 256 * 1024;
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 /// Largest event of a stream, in bytes.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// A stream as far as the caller has it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -47,44 +47,44 @@
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
 ) -> AttemptOutcome {
     let mut body = Vec::new();
     loop {
-        let left = time_left(router, call.ends_at);
-        match within(left, answer.part(&mut body)).await {
-            Ok(true) if body.len() > HELD_ANSWER => {
-                return pass_through(router, caller, call, answer, body).await;
+        let left = time_left(router, call.deadline);
+        match within(left, response.part(&mut body)).await {
+            Ok(true) if body.len() > MAX_BUFFERED_BODY => {
+                return relay_unbuffered(router, caller, call, response, body).await;
             }
-            Ok(true) => answer.lease.heard(),
+            Ok(true) => response.guard.note_received(),
             Ok(false) => break,
             Err(error) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Ended(end_of(&error), None);
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Ended(attempt_end(&error), None);
             }
         }
     }
-    let whole = PlainAnswer {
-        head: answer.head.clone(),
+    let complete = BufferedResponse {
+        head: response.head.clone(),
         body,
     };
-    if let Some(end) = failure_of(whole.head.status) {
-        answer.lease.rate(true);
-        let told = (end == AttemptEnd::Failed).then_some(whole);
-        return AttemptOutcome::Ended(end, told);
+    if let Some(end) = failure_end(complete.head.status) {
+        response.guard.note_outcome(true);
+        let server_failure = (end == AttemptEnd::Failed).then_some(complete);
+        return AttemptOutcome::Ended(end, server_failure);
     }
-    answer.finish(router);
+    response.finish(router);
     let keep = call.request.head.keep && !router.is_leaving();
-    let bytes = whole.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep);
     match caller.send(&bytes).await {
-        Ok(()) => AttemptOutcome::Delivered(whole.head.status, keep),
-        Err(_) => AttemptOutcome::CallerLost,
+        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep),
+        Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
 
 /// Whether a status is a failure of the server. Statuses that would promise
 /// that the request has not run are not passed on without the server's proof.
-fn failure_of(status: u16) -> Option<AttemptEnd> {
+fn failure_end(status: u16) -> Option<AttemptEnd> {
     match status {
         408 | 421 | 429 | 503 => Some(AttemptEnd::Lost),
         500.. => Some(AttemptEnd::Failed),
@@ -92,7 +92,7 @@
     }
 }
 
-fn end_of(error: &ChannelError) -> AttemptEnd {
+fn attempt_end(error: &ChannelError) -> AttemptEnd {
     if matches!(error, ChannelError::TimedOut) {
         AttemptEnd::Silent
     } else {
@@ -101,39 +101,39 @@
 }
 
 /// Relays a large answer as it comes.
-async fn pass_through(
+async fn relay_unbuffered(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
     mut body: Vec<u8>,
 ) -> AttemptOutcome {
     let mut writer = StreamWriter::new(router, call);
-    let status = answer.head.status;
-    writer.begin(&answer);
+    let status = response.head.status;
+    writer.begin(&response);
     loop {
         writer.content(&body);
         body.clear();
         if caller.send(writer.out()).await.is_err() {
-            return AttemptOutcome::CallerLost;
+            return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
-        let left = time_left(router, call.ends_at);
-        match within(left, answer.part(&mut body)).await {
-            Ok(true) => answer.lease.heard(),
+        let left = time_left(router, call.deadline);
+        match within(left, response.part(&mut body)).await {
+            Ok(true) => response.guard.note_received(),
             Ok(false) => break,
             Err(_) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Cut;
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Truncated;
             }
         }
     }
-    answer.finish(router);
+    response.finish(router);
     writer.content(&body);
     writer.end();
     match caller.send(writer.out()).await {
         Ok(()) => AttemptOutcome::Delivered(status, writer.keep),
-        Err(_) => AttemptOutcome::CallerLost,
+        Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
 
@@ -143,40 +143,46 @@
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     progress: &mut RequestProgress,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
 ) -> AttemptOutcome {
     let mut writer = StreamWriter::new(router, call);
-    let mut held = Vec::new();
+    let mut buffered = Vec::new();
     loop {
-        let more = match next_part(router, call, progress, &mut answer, &mut held).await {
+        let more = match next_part(router, call, progress, &mut response, &mut buffered).await {
             Ok(more) => more,
             Err(error) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Ended(end_of(&error), None);
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Ended(attempt_end(&error), None);
             }
         };
         let stream = &mut progress.stream;
-        let scan = scan_events(&held);
-        if !follows(stream, scan.first_id) || held.len() - scan.whole > MAX_EVENT {
-            answer.lease.rate(true);
+        let scan = scan_events(&buffered);
+        if !is_next_event(stream, scan.first_id)
+            || buffered.len() - scan.complete_bytes > MAX_EVENT_BYTES
+        {
+            response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
-        let rest = held.len() - scan.whole;
-        if !more && rest > 0 && answer.decoder.ends_with_connection() {
+        let rest = buffered.len() - scan.complete_bytes;
+        if !more && rest > 0 && response.decoder.ends_with_connection() {
             // The connection ended within an event.
-            answer.lease.rate(true);
+            response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
-        let ready = if more { scan.whole } else { held.len() };
+        let ready = if more {
+            scan.complete_bytes
+        } else {
+            buffered.len()
+        };
         if ready > 0 || !more {
             if !stream.begun {
-                writer.begin(&answer);
+                writer.begin(&response);
                 stream.begun = true;
                 stream.first_at = Some(router.clock.now());
-                answer.lease.prompt_read();
+                response.guard.prompt_read();
             }
-            writer.content(&held[..ready]);
-            held.drain(..ready);
+            writer.content(&buffered[..ready]);
+            buffered.drain(..ready);
             stream.events += scan.count;
             stream.last_event = scan.last_id.or(stream.last_event);
             charge(call, stream.events);
@@ -185,11 +191,11 @@
             writer.end();
         }
         if !writer.out().is_empty() && caller.send(writer.out()).await.is_err() {
-            return AttemptOutcome::CallerLost;
+            return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
         if !more {
-            answer.finish(router);
+            response.finish(router);
             return AttemptOutcome::Delivered(200, writer.keep);
         }
     }
@@ -201,19 +207,20 @@
     router: &Rc<ForwardRouter>,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
-    answer: &mut OpenAnswer,
-    held: &mut Vec<u8>,
+    response: &mut IncomingResponse,
+    buffered: &mut Vec<u8>,
 ) -> Result<bool, ChannelError> {
-    let movable = call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
+    let resumable =
+        call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
     let silence = router.settings.times.stream_silence;
     loop {
-        let left = router.clock.left(call.ends_at);
-        let limit = if movable { silence.min(left) } else { left };
-        match within(timer_span(limit), answer.part(held)).await {
-            Err(ChannelError::TimedOut) if movable && left > limit && !answer.lease.is_silent() => {
-            }
+        let left = router.clock.left(call.deadline);
+        let limit = if resumable { silence.min(left) } else { left };
+        match within(timer_span(limit), response.part(buffered)).await {
+            Err(ChannelError::TimedOut)
+                if resumable && left > limit && !response.guard.is_silent() => {}
             Ok(more) => {
-                answer.lease.heard();
+                response.guard.note_received();
                 return Ok(more);
             }
             Err(error) => return Err(error),
@@ -222,7 +229,7 @@
 }
 
 /// Whether the first event of a part comes right after the last one sent.
-fn follows(stream: &StreamProgress, first: Option<u64>) -> bool {
+fn is_next_event(stream: &StreamProgress, first: Option<u64>) -> bool {
     match (stream.last_event, first) {
         (Some(last), Some(first)) => first == last + 1,
         _ => true,
@@ -259,9 +266,9 @@
         }
     }
 
-    fn begin(&mut self, answer: &OpenAnswer) {
-        let mut head = HeadWriter::response(answer.head.status, &answer.head.reason);
-        copy_fields(&answer.head.fields, &mut head);
+    fn begin(&mut self, response: &IncomingResponse) {
+        let mut head = HeadWriter::response(response.head.status, &response.head.reason);
+        copy_fields(&response.head.fields, &mut head);
         if self.chunked {
             head.field("Transfer-Encoding", b"chunked");
         }
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -5,8 +5,8 @@
 use crate::http::BodyFraming;
 use crate::http::HeadWriter;
 use crate::http::is_hop_by_hop;
+use crate::retry::RequestProgress;
 use crate::router::ForwardRouter;
-use crate::send::RequestProgress;
 use crate::serve::ForwardCall;
 
 /// Rank of the least urgent requests.
@@ -33,7 +33,7 @@
             head.field(name, value);
         }
     }
-    let left = router.clock.left(call.ends_at).as_millis();
+    let left = router.clock.left(call.deadline).as_millis();
     head.field_of(names.time_left, left);
     head.field(names.expected_server, server.id.as_str().as_bytes());
     if let Some((organisation, _)) = &call.organisation {
--- a/crates/guavawell-forward/src/answer.rs
+++ b/crates/guavawell-forward/src/response.rs
@@ -9,26 +9,26 @@
 use crate::http::HttpChannel;
 use crate::http::ResponseHead;
 use crate::http::is_hop_by_hop;
-use crate::lease::ServerLease;
-use crate::pool::keep_span;
+use crate::in_flight::InFlightGuard;
+use crate::pool::keep_alive_span;
 use crate::router::ForwardRouter;
 
 /// A whole answer of a server.
 #[derive(Debug)]
-pub struct PlainAnswer {
+pub struct BufferedResponse {
     /// Its head.
     pub head: ResponseHead,
     /// Its body.
     pub body: Vec<u8>,
 }
 
-impl PlainAnswer {
+impl BufferedResponse {
     /// The answer as it goes to the caller.
     #[must_use]
-    pub fn bytes(&self, to_head: bool, keep: bool) -> Vec<u8> {
+    pub fn bytes(&self, is_head_request: bool, keep: bool) -> Vec<u8> {
         let mut head = HeadWriter::response(self.head.status, &self.head.reason);
         copy_fields(&self.head.fields, &mut head);
-        if to_head {
+        if is_head_request {
             for value in self.head.fields.all("content-length") {
                 head.field("Content-Length", value);
             }
@@ -56,7 +56,7 @@
 
 /// A server's answer whose body is still to come.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct IncomingResponse {
     /// The connection to the server.
     pub channel: HttpChannel,
     /// The answer's head.
@@ -67,10 +67,10 @@
     /// connection, so that it may be used again.
     pub clean: bool,
     /// Counts the request at the server.
-    pub lease: ServerLease,
+    pub guard: InFlightGuard,
 }
 
-impl OpenAnswer {
+impl IncomingResponse {
     /// Receives the next part of the body; false at its end.
     ///
     /// # Errors
@@ -79,22 +79,22 @@
     /// answer is lost then.
     pub async fn part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
         let part = self.channel.body_part(&mut self.decoder, body);
-        let ended = async {
-            self.lease.life_ended().await;
+        let restarted = async {
+            self.guard.server_restarted().await;
             Err(ChannelError::Closed)
         };
-        part.or(ended).await
+        part.or(restarted).await
     }
 
     /// Gives the connection back after a whole answer.
     pub fn finish(self, router: &ForwardRouter) {
-        self.lease.rate(false);
+        self.guard.note_outcome(false);
         let done = self.decoder.is_done();
         if self.clean && done && self.head.keep && self.channel.is_quiet() {
-            let keep = keep_span(&self.head.fields, router.settings.times.idle);
+            let keep = keep_alive_span(&self.head.fields, router.settings.times.idle);
             let now = router.clock.now();
             let mut pool = router.pool.borrow_mut();
-            pool.put(self.lease.server(), self.channel, now, keep);
+            pool.put(self.guard.server(), self.channel, now, keep);
         }
     }
 }
--- a/crates/guavawell-forward/src/send.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -18,27 +18,27 @@
 use guavawell_core::poison::SuspicionMark;
 use guavawell_fleet::event::EventDraft;
 
-use crate::answer::PlainAnswer;
 use crate::attempt::AttemptOutcome;
-use crate::attempt::abandoned;
+use crate::attempt::abandoned_attempt;
 use crate::attempt::send_attempt;
-use crate::crash::note_lost;
+use crate::crash::note_lost_attempt;
 use crate::http::HttpChannel;
-use crate::judge::judge_again;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::relay::StreamProgress;
+use crate::response::BufferedResponse;
 use crate::router::ForwardRouter;
+use crate::routing::recheck_config;
 use crate::serve::ForwardCall;
-use crate::serve::refuse;
+use crate::serve::send_refusal;
 
 /// Servers that may refuse a connection before a request is turned away.
 const MAX_UNSENT: usize = 4;
 /// Time that may go into connections that were not to be had: as long as so many
 /// dead servers take.
-const UNSENT_PATIENCE: ClockSpan = ClockSpan::from_millis(1_000);
+const MAX_UNSENT_TIME: ClockSpan = ClockSpan::from_millis(1_000);
 /// Least time for another attempt.
-const LEAST_TIME: ClockSpan = ClockSpan::from_millis(15);
+const MIN_ATTEMPT_TIME: ClockSpan = ClockSpan::from_millis(15);
 /// Retry-After where no server is to be had: about the time in which a server
 /// that restarts is listed again.
 const RETRY_NO_SERVER: ClockSpan = ClockSpan::from_millis(1_000);
@@ -78,12 +78,12 @@
     let mut failure = None;
     router.count_request(&call.service);
     loop {
-        let judged = judge_again(router, &mut call, progress.outcome.may_have_run, record);
+        let rechecked = recheck_config(router, &mut call, progress.outcome.may_have_run, record);
         let call = &call;
-        let pick = match judged.and_then(|()| choose(router, call, &progress)) {
+        let pick = match rechecked.and_then(|()| choose(router, call, &progress)) {
             Ok(pick) => pick,
             Err(refusal) => {
-                return end_without_answer(
+                return end_without_response(
                     router, caller, call, record, &progress, refusal, failure,
                 )
                 .await;
@@ -93,49 +93,50 @@
         let outcome = send_attempt(router, caller, call, &pick, &mut progress).await;
         record.note("attempts", progress.sent);
         note_suspicion(router, call, &progress, &pick.server, &outcome).await;
-        let (end, answer) = match outcome {
+        let (end, response) = match outcome {
             AttemptOutcome::Delivered(status, keep) => {
                 note_stream(record, &progress.stream);
                 record.answered(status);
                 return keep;
             }
-            AttemptOutcome::CallerLost => return false,
-            AttemptOutcome::Cut => {
-                record.cut();
+            AttemptOutcome::CallerDisconnected => return false,
+            AttemptOutcome::Truncated => {
+                record.truncated();
                 return false;
             }
-            AttemptOutcome::Ended(end, answer) => (end, answer),
+            AttemptOutcome::Ended(end, response) => (end, response),
         };
         progress.outcome.note(end);
         note_attempt(router, call, &pick, end);
-        failure = answer.or(failure);
-        let again = may_repeat(router, call, &progress, end);
-        let refusal = match next_step(call.route.repeat, end, again) {
+        failure = response.or(failure);
+        let may_retry = may_repeat(router, call, &progress, end);
+        let refusal = match next_step(call.route.repeat, end, may_retry) {
             NextStep::Again => continue,
             NextStep::Relay => ForwardRefusal::AnswerLost,
             NextStep::Refuse(refusal) => refusal,
         };
-        return end_without_answer(router, caller, call, record, &progress, refusal, failure).await;
+        return end_without_response(router, caller, call, record, &progress, refusal, failure)
+            .await;
     }
 }
 
 /// Ends a request whose last attempt brought no answer. A failure that a
 /// server told in an earlier one says more than a refusal of the router's own.
-async fn end_without_answer(
+async fn end_without_response(
     router: &ForwardRouter,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     record: &RequestRecord,
     progress: &RequestProgress,
     refusal: ForwardRefusal,
-    failure: Option<PlainAnswer>,
+    failure: Option<BufferedResponse>,
 ) -> bool {
     settle(call, record, progress);
     match failure {
-        Some(answer) if !progress.stream.begun => {
-            relay_failure(router, caller, call, record, &answer).await
+        Some(response) if !progress.stream.begun => {
+            relay_failure(router, caller, call, record, &response).await
         }
-        _ => give_up(router, caller, call, record, progress, refusal).await,
+        _ => end_with_refusal(router, caller, call, record, progress, refusal).await,
     }
 }
 
@@ -171,7 +172,7 @@
     if router.poison.refused_for(call.fingerprint).is_some() {
         return Err(ForwardRefusal::CrashesServers);
     }
-    if router.clock.left(call.ends_at) < LEAST_TIME {
+    if router.clock.left(call.deadline) < MIN_ATTEMPT_TIME {
         return Err(ForwardRefusal::TooLate);
     }
     let suspect = router.poison.suspect(call.fingerprint);
@@ -201,11 +202,11 @@
     progress: &RequestProgress,
     end: AttemptEnd,
 ) -> bool {
-    if router.clock.left(call.ends_at) < LEAST_TIME {
+    if router.clock.left(call.deadline) < MIN_ATTEMPT_TIME {
         return false;
     }
     if end == AttemptEnd::NotSent {
-        return progress.unsent < MAX_UNSENT && progress.unsent_time < UNSENT_PATIENCE;
+        return progress.unsent < MAX_UNSENT && progress.unsent_time < MAX_UNSENT_TIME;
     }
     let once = call.route.repeat == RepeatKind::Once;
     if once && end != AttemptEnd::Rejected {
@@ -230,11 +231,11 @@
             router.poison.answered(call.fingerprint);
             false
         }
-        AttemptOutcome::Cut | AttemptOutcome::Ended(AttemptEnd::Lost, _) => true,
+        AttemptOutcome::Truncated | AttemptOutcome::Ended(AttemptEnd::Lost, _) => true,
         _ => false,
     };
     if lost {
-        note_lost(router, abandoned(call, progress, server)).await;
+        note_lost_attempt(router, abandoned_attempt(call, progress, server)).await;
     }
 }
 
@@ -268,7 +269,7 @@
 }
 
 /// Ends a request without a server's answer.
-async fn give_up(
+async fn end_with_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
@@ -280,7 +281,7 @@
         // The caller sees the missing end of the stream.
         record.note("cause", refusal);
         note_stream(record, &progress.stream);
-        record.cut();
+        record.truncated();
         return false;
     }
     let spread = ClockSpan::from_millis(fastrand::u64(..RETRY_SPREAD_MS));
@@ -294,12 +295,12 @@
     };
     let base = base.unwrap_or(RETRY_NO_SERVER);
     let after = ClockSpan::from_millis(base.as_millis() + spread.as_millis());
-    let answer = RefusalAnswer {
+    let response = RefusalResponse {
         refusal,
         may_have_run: progress.outcome.may_have_run,
         retry_after: Some(after),
     };
-    refuse(router, caller, call.request, call.id, record, &answer).await
+    send_refusal(router, caller, call.request, call.id, record, &response).await
 }
 
 /// Hands a server's own failure to the caller.
@@ -308,11 +309,11 @@
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     record: &RequestRecord,
-    answer: &PlainAnswer,
+    response: &BufferedResponse,
 ) -> bool {
     let keep = call.request.head.keep && !router.is_leaving();
     record.note("cause", "server_failed");
-    record.answered(answer.head.status);
-    let bytes = answer.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    record.answered(response.head.status);
+    let bytes = response.bytes(call.request.head.method.as_ref() == "HEAD", keep);
     caller.send(&bytes).await.is_ok() && keep
 }
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -58,9 +58,9 @@
     /// Known backend servers.
     pub servers: RefCell<ServerTable>,
     /// A server started again under its id.
-    pub reborn: Event,
+    pub restart_event: Event,
     /// The configuration or the list of servers was read.
-    informed: Event,
+    state_loaded: Event,
     /// Whether the list of servers was read.
     pub servers_read: Cell<bool>,
     /// How old the list of servers may be.
@@ -68,13 +68,13 @@
     /// A question for the list was answered.
     servers_answered: Event,
     /// Whether budgets were open once; new ones do not close the door again.
-    opened: Cell<bool>,
+    budgets_opened: Cell<bool>,
     /// Allowance for repeats.
     pub repeats: RefCell<RepeatAllowance>,
     /// What tries to connect to servers tell of the way.
-    pub connects: Cell<ConnectPace>,
+    pub connect_pace: Cell<ConnectPace>,
     /// What connections to servers tell of the own link.
-    link: Cell<LinkCongestion>,
+    link_congestion: Cell<LinkCongestion>,
     /// Idle connections to servers.
     pub pool: RefCell<ConnectionPool>,
     /// The other instances.
@@ -92,7 +92,7 @@
     /// Where the process stands.
     pub phase: Cell<RouterPhase>,
     /// When the platform last failed to answer.
-    pub trouble_at: Cell<Option<ClockTime>>,
+    pub platform_failed_at: Cell<Option<ClockTime>>,
 }
 
 impl ForwardRouter {
@@ -111,15 +111,15 @@
             log,
             configs,
             servers: RefCell::default(),
-            reborn: Event::new(),
-            informed: Event::new(),
+            restart_event: Event::new(),
+            state_loaded: Event::new(),
             servers_read: Cell::new(false),
             server_age: Cell::default(),
             servers_answered: Event::new(),
-            opened: Cell::new(false),
+            budgets_opened: Cell::new(false),
             repeats: RefCell::default(),
-            connects: Cell::default(),
-            link: Cell::new(LinkCongestion::new(settings.congestion)),
+            connect_pace: Cell::default(),
+            link_congestion: Cell::new(LinkCongestion::new(settings.congestion)),
             pool: RefCell::default(),
             settings,
             peers: Rc::clone(budgets.peers()),
@@ -129,26 +129,26 @@
             held_requests: Cell::new(0),
             held_bytes: Cell::new(0),
             phase: Cell::new(RouterPhase::Serving),
-            trouble_at: Cell::new(None),
+            platform_failed_at: Cell::new(None),
         }
     }
 
     /// The store answered a question about the configuration sent at `asked`.
-    pub fn config_told(&self, told: ConfigTold<'_>, asked: ClockTime) {
+    pub fn config_received(&self, told: ConfigTold<'_>, asked: ClockTime) {
         let Some(config) = self.configs.store_told(told, asked) else {
             return;
         };
-        self.take_paid(&config);
+        self.apply_paid_amounts(&config);
         self.config_changed();
     }
 
     /// Another configuration may be in force.
     pub fn config_changed(&self) {
-        self.informed.notify(usize::MAX);
+        self.state_loaded.notify(usize::MAX);
     }
 
     /// What organisations paid. Only the store's own word raises it.
-    fn take_paid(&self, config: &ForwardConfig) {
+    fn apply_paid_amounts(&self, config: &ForwardConfig) {
         for entry in &config.organisations {
             if let Some(paid) = entry.paid {
                 self.budgets.set_paid(&entry.id, paid.get(), config.version);
@@ -157,7 +157,7 @@
     }
 
     /// The platform lists a server.
-    pub fn list_server(&self, entry: ServerEntry) {
+    pub fn update_server(&self, entry: ServerEntry) {
         let life = entry.life.clone();
         let phase = entry.phase;
         let mut servers = self.servers.borrow_mut();
@@ -166,17 +166,17 @@
         let after = servers.get(&life).map(|held| held.phase);
         drop(servers);
         if let Some(former) = former {
-            self.end_life(&former, &life);
+            self.drop_former_life(&former, &life);
         }
         if before != after {
-            self.note_server("server.listed", &life, phase);
+            self.log_server("server.listed", &life, phase);
         }
     }
 
     /// A server started again: nothing of its former life is used any more.
-    fn end_life(&self, former: &ServerLife, life: &ServerLife) {
-        self.pool.borrow_mut().forget(former);
-        self.reborn.notify(usize::MAX);
+    fn drop_former_life(&self, former: &ServerLife, life: &ServerLife) {
+        self.pool.borrow_mut().drop_connections(former);
+        self.restart_event.notify(usize::MAX);
         let draft = EventDraft::new("server.reborn")
             .field("life", life)
             .field("before", former);
@@ -194,16 +194,16 @@
     }
 
     /// The platform no longer lists a server.
-    pub fn unlist_server(&self, id: &BackendId) {
+    pub fn remove_unlisted_server(&self, id: &BackendId) {
         let now = self.clock.now();
         let lapse = &self.settings.times.lapse;
-        let phase = lapse.vanished(now, self.trouble_at.get());
+        let phase = lapse.vanished(now, self.platform_failed_at.get());
         self.remove_server("server.unlisted", id, phase);
     }
 
     /// The platform's entry of a server cannot be read. Whoever wrote it, it
     /// names no server to use.
-    pub fn distrust_server(&self, id: &BackendId) {
+    pub fn mark_server_unreadable(&self, id: &BackendId) {
         self.remove_server("server.distrusted", id, ServerPhase::Unreadable);
     }
 
@@ -214,12 +214,12 @@
         };
         servers.remove(&life, phase);
         drop(servers);
-        self.note_server(kind, &life, phase);
+        self.log_server(kind, &life, phase);
     }
 
     /// The platform's whole list was read: servers that are not in it are
     /// unlisted, and those of `unreadable` entries are not used.
-    pub fn list_all(&self, entries: Vec<ServerEntry>, unreadable: &[BackendId]) {
+    pub fn replace_server_list(&self, entries: Vec<ServerEntry>, unreadable: &[BackendId]) {
         let readable = entries.iter().map(|entry| &entry.life.id);
         let mut listed: Vec<BackendId> = readable.chain(unreadable).cloned().collect();
         listed.sort();
@@ -228,16 +228,16 @@
         let missing: Vec<BackendId> = ids.filter(|id| listed.binary_search(id).is_err()).collect();
         drop(known);
         for id in missing {
-            self.unlist_server(&id);
+            self.remove_unlisted_server(&id);
         }
         for id in unreadable {
-            self.distrust_server(id);
+            self.mark_server_unreadable(id);
         }
         for entry in entries {
-            self.list_server(entry);
+            self.update_server(entry);
         }
         self.servers_read.set(true);
-        self.informed.notify(usize::MAX);
+        self.state_loaded.notify(usize::MAX);
     }
 
     /// A question for the list of servers that was sent at `asked` was answered.
@@ -288,7 +288,7 @@
         }
     }
 
-    fn note_server(&self, kind: &str, life: &ServerLife, phase: ServerPhase) {
+    fn log_server(&self, kind: &str, life: &ServerLife, phase: ServerPhase) {
         let phase = match phase {
             ServerPhase::Ready => "ready",
             ServerPhase::Leaving => "leaving",
@@ -303,32 +303,32 @@
 
     /// The platform failed to answer.
     pub fn platform_failed(&self) {
-        self.trouble_at.set(Some(self.clock.now()));
+        self.platform_failed_at.set(Some(self.clock.now()));
     }
 
     /// Whether new connections are welcome.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let serving = self.phase.get() == RouterPhase::Serving;
-        let informed = self.is_informed();
-        if informed && !self.opened.get() {
-            self.opened.set(self.budgets.is_open());
+        let has_state = self.has_initial_state();
+        if has_state && !self.budgets_opened.get() {
+            self.budgets_opened.set(self.budgets.is_open());
         }
-        let open = !self.link.get().is_full(self.clock.now());
-        serving && informed && self.opened.get() && open
+        let open = !self.link_congestion.get().is_full(self.clock.now());
+        serving && has_state && self.budgets_opened.get() && open
     }
 
     /// A connection to a server stood after a time, or was turned down; `None`
     /// if it did not in time.
-    pub fn connected(&self, took: Option<ClockSpan>) {
+    pub fn note_connect_time(&self, took: Option<ClockSpan>) {
         let now = self.clock.now();
-        let mut link = self.link.get();
+        let mut link = self.link_congestion.get();
         let before = link.is_full(now);
         match took {
             Some(took) => link.connected(took, now),
             None => link.late(now),
         }
-        self.link.set(link);
+        self.link_congestion.set(link);
         if before != link.is_full(now) {
             let draft = EventDraft::new(if before { "link.open" } else { "link.full" })
                 .field("connect_ms", took.map_or(0, ClockSpan::as_millis))
@@ -340,25 +340,25 @@
     /// Whether a configuration, the list of servers and what the fleet believes
     /// of requests that crash them are known.
     #[must_use]
-    pub fn is_informed(&self) -> bool {
+    pub fn has_initial_state(&self) -> bool {
         self.configs.current().is_some() && self.servers_read.get() && self.poison.is_read()
     }
 
     /// Waits until a configuration and the list of servers are known.
-    pub async fn wait_informed(&self) {
+    pub async fn wait_for_initial_state(&self) {
         loop {
-            let informed = self.informed.listen();
-            if self.is_informed() {
+            let loaded = self.state_loaded.listen();
+            if self.has_initial_state() {
                 return;
             }
-            informed.await;
+            loaded.await;
         }
     }
 
     /// What the fleet believes of requests that crash servers was read.
-    pub fn poison_read(&self) {
+    pub fn suspects_loaded(&self) {
         self.poison.rows_read();
-        self.informed.notify(usize::MAX);
+        self.state_loaded.notify(usize::MAX);
     }
 
     /// Whether the process was told to leave.
@@ -369,7 +369,7 @@
 
     /// When requests that still run are cut, if the process is leaving.
     #[must_use]
-    pub fn cut_at(&self) -> Option<ClockTime> {
+    pub fn abort_at(&self) -> Option<ClockTime> {
         let (RouterPhase::Leaving(began) | RouterPhase::Closing(began)) = self.phase.get() else {
             return None;
         };
@@ -381,16 +381,16 @@
         Some(began + ClockSpan::from_millis(rest))
     }
 
-    /// Whether a request that lasts until `ends_at` at most may be taken.
+    /// Whether a request that lasts until `deadline` at most may be taken.
     #[must_use]
-    pub fn can_finish(&self, ends_at: ClockTime) -> bool {
+    pub fn can_finish(&self, deadline: ClockTime) -> bool {
         let began = match self.phase.get() {
             RouterPhase::Serving => return true,
             RouterPhase::Leaving(began) => began,
             RouterPhase::Closing(_) => return false,
         };
         let announced = self.clock.now().since(began) <= self.settings.times.announce;
-        announced || self.cut_at().is_none_or(|cut| ends_at <= cut)
+        announced || self.abort_at().is_none_or(|cut| deadline <= cut)
     }
 
     /// Counts the first sending of a request.
--- a/crates/guavawell-forward/src/judge.rs
+++ b/crates/guavawell-forward/src/routing.rs
@@ -15,9 +15,9 @@
 use guavawell_core::forward::RouteEntry;
 use guavawell_core::id::OrganisationId;
 
-use crate::door::ReceivedRequest;
+use crate::callers::ReceivedRequest;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
 use crate::serve::ForwardCall;
 
@@ -37,12 +37,12 @@
     router: &ForwardRouter,
     config: &ForwardConfig,
     request: &ReceivedRequest,
-) -> Result<Arc<RouteEntry>, RefusalAnswer> {
+) -> Result<Arc<RouteEntry>, RefusalResponse> {
     let head = &request.head;
     let route = config.routes.find(&head.host, head.path());
     route
         .cloned()
-        .ok_or_else(|| unknown(router, ForwardRefusal::NoRoute))
+        .ok_or_else(|| unknown_refusal(router, ForwardRefusal::NoRoute))
 }
 
 /// The organisation whose key a request carries; `None` where none is asked for.
@@ -55,7 +55,7 @@
     config: &ForwardConfig,
     route: &RouteEntry,
     request: &ReceivedRequest,
-) -> Result<Option<RankedOrganisation>, RefusalAnswer> {
+) -> Result<Option<RankedOrganisation>, RefusalResponse> {
     if route.public || !config.needs_keys() {
         return Ok(None);
     }
@@ -65,11 +65,11 @@
         scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
     });
     let Some(key) = key else {
-        return Err(RefusalAnswer::new(ForwardRefusal::UnknownKey));
+        return Err(RefusalResponse::new(ForwardRefusal::UnknownKey));
     };
     let entry = config
         .organisation(key)
-        .ok_or_else(|| unknown(router, ForwardRefusal::UnknownKey))?;
+        .ok_or_else(|| unknown_refusal(router, ForwardRefusal::UnknownKey))?;
     Ok(Some((entry.id.clone(), entry.priority)))
 }
 
@@ -82,11 +82,11 @@
 }
 
 /// What a configuration does not know, unless a newer one may know it.
-fn unknown(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalAnswer {
+fn unknown_refusal(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalResponse {
     if router.configs.is_overdue() {
-        RefusalAnswer::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
+        RefusalResponse::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
     } else {
-        RefusalAnswer::new(refusal)
+        RefusalResponse::new(refusal)
     }
 }
 
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// Why it is not sent on.
-pub fn judge_again(
+pub fn recheck_config(
     router: &ForwardRouter,
     call: &mut ForwardCall<'_>,
     may_have_run: bool,
@@ -106,7 +106,7 @@
         return Ok(());
     };
     note_config(router, &config, record);
-    let route = route_under(router, &config, call)?;
+    let route = route_in_config(router, &config, call)?;
     if may_have_run && route.repeat == RepeatKind::Once {
         return Err(ForwardRefusal::AnswerLost);
     }
@@ -116,8 +116,8 @@
     }
     let engine = config.service(&call.service);
     call.engine = engine.and_then(|entry| entry.engine);
-    call.ends_at = call
-        .ends_at
+    call.deadline = call
+        .deadline
         .min(call.request.received_at + route.time_limit);
     call.route = route;
     call.config = config;
@@ -130,7 +130,7 @@
     let Some(config) = changed_config(router, call) else {
         return true;
     };
-    let route = route_under(router, &config, call);
+    let route = route_in_config(router, &config, call);
     route.is_ok_and(|route| route.sends_to(&call.service))
 }
 
@@ -140,12 +140,12 @@
 }
 
 /// The route that a configuration gives a request of the same organisation.
-fn route_under(
+fn route_in_config(
     router: &ForwardRouter,
     config: &ForwardConfig,
     call: &ForwardCall<'_>,
 ) -> Result<Arc<RouteEntry>, ForwardRefusal> {
-    let refusal = |answer: RefusalAnswer| answer.refusal;
+    let refusal = |answer: RefusalResponse| answer.refusal;
     let route = find_route(router, config, call.request).map_err(refusal)?;
     let organisation = identify(router, config, &route, call.request).map_err(refusal)?;
     let id = |ranked: &Option<RankedOrganisation>| ranked.as_ref().map(|(id, _)| id.clone());
--- a/crates/guavawell-forward/src/schedule.rs
+++ b/crates/guavawell-forward/src/schedule.rs
@@ -15,7 +15,7 @@
 
 /// Steps of requests between two looks at what arrived on connections. Fewer
 /// cost a system call each; more delay what the first queue waits for.
-const STEPS_PER_LOOK: usize = 16;
+const STEPS_PER_POLL: usize = 16;
 
 /// Two queues of tasks on one thread.
 #[derive(Clone, Debug, Default)]
@@ -45,7 +45,7 @@
     /// Runs a few requests' steps, each after all that is ready of the first
     /// queue; whether more is ready.
     fn step(&self) -> bool {
-        for _ in 0..STEPS_PER_LOOK {
+        for _ in 0..STEPS_PER_POLL {
             while self.control.try_tick() {}
             if !self.requests.try_tick() {
                 return false;
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -15,14 +15,14 @@
 use guavawell_core::poison::RequestFingerprint;
 
 use crate::budget::TokenReservation;
-use crate::door::ReceivedRequest;
+use crate::callers::ReceivedRequest;
 use crate::http::HttpChannel;
 use crate::http::wait_for_close;
 use crate::prepare::prepare;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
+use crate::retry::run_attempts;
 use crate::router::ForwardRouter;
-use crate::send::run_attempts;
 
 /// A request that may be sent to a backend server.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// Parts of its prompt.
     pub shape: PromptShape,
     /// When the caller or the operator no longer waits.
-    pub ends_at: ClockTime,
+    pub deadline: ClockTime,
     /// Tokens set aside.
     pub reservation: Option<Rc<TokenReservation>>,
 }
@@ -90,11 +90,11 @@
     let stream = channel.stream();
     let caller = &*channel;
     let serve = async { serve_held(router, caller, &request, &id, &record).await };
-    let gone = async {
+    let disconnected = async {
         wait_for_close(&stream).await;
         false
     };
-    serve.or(gone).await
+    serve.or(disconnected).await
 }
 
 async fn serve_held(
@@ -107,23 +107,23 @@
     match prepare(router, request, id, record).await {
         Ok(call) => {
             let reservation = call.reservation.clone();
-            let _note = reservation.map(|reservation| SpendingNote {
+            let _recorder = reservation.map(|reservation| SpendingRecorder {
                 reservation,
                 record,
             });
             run_attempts(router, caller, call, record).await
         }
-        Err(answer) => refuse(router, caller, request, id, record, &answer).await,
+        Err(response) => send_refusal(router, caller, request, id, record, &response).await,
     }
 }
 
 /// Notes what a request spent when it ends, however it ends.
-struct SpendingNote<'a> {
+struct SpendingRecorder<'a> {
     reservation: Rc<TokenReservation>,
     record: &'a RequestRecord,
 }
 
-impl Drop for SpendingNote<'_> {
+impl Drop for SpendingRecorder<'_> {
     fn drop(&mut self) {
         let (reserved, spent) = self.reservation.tokens();
         self.record.note("tokens_reserved", reserved);
@@ -132,19 +132,19 @@
 }
 
 /// Sends an answer of the router's own.
-pub async fn refuse(
+pub async fn send_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
     request: &ReceivedRequest,
     id: &str,
     record: &RequestRecord,
-    answer: &RefusalAnswer,
+    response: &RefusalResponse,
 ) -> bool {
     let keep = request.head.keep && !router.is_leaving();
-    record.refused(answer.refusal, answer.status());
-    if let Some(span) = answer.retry_after {
+    record.refused(response.refusal, response.status());
+    if let Some(span) = response.retry_after {
         record.note("retry_after_ms", span.as_millis());
     }
     let field = (!id.is_empty()).then_some((router.settings.names.request, id));
-    answer.send(caller, field, keep).await.is_ok() && keep
+    response.send(caller, field, keep).await.is_ok() && keep
 }
--- a/crates/guavawell-forward/src/words.rs
+++ b/crates/guavawell-forward/src/server_status.rs
@@ -16,35 +16,35 @@
 /// Field that says when to come back.
 const RETRY_AFTER: &str = "retry-after";
 /// What a server that leaves says.
-const LEAVING: &str = "1";
+const LEAVING_VALUE: &str = "1";
 
 /// Takes in what a server says in the head of an answer.
-pub fn take_words(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+pub fn apply_server_status(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     if head.status == 421 {
         // Another server has the address; these are its words.
         return;
     }
     if head
         .fields
-        .has_token(router.settings.names.leaving, LEAVING)
+        .has_token(router.settings.names.leaving, LEAVING_VALUE)
     {
-        take_leaving(router, server);
+        apply_leaving(router, server);
     }
     if head.status == 503 {
-        take_pause(router, server, head);
+        apply_pause(router, server, head);
     }
 }
 
-fn take_leaving(router: &ForwardRouter, server: &ServerLife) {
+fn apply_leaving(router: &ForwardRouter, server: &ServerLife) {
     let mut servers = router.servers.borrow_mut();
-    let fresh = servers
+    let changed = servers
         .get_mut(server)
         .is_some_and(ServerEntry::say_leaving);
     drop(servers);
-    if !fresh {
+    if !changed {
         return;
     }
-    router.pool.borrow_mut().forget(server);
+    router.pool.borrow_mut().drop_connections(server);
     let silent = router.configs.age().unwrap_or_default();
     let draft = EventDraft::new("server.says_leaving")
         .field("server", server)
@@ -54,10 +54,10 @@
 
 /// Takes in for how long a server that turned a request away wants no other one;
 /// of several times the longest.
-fn take_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+fn apply_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     let texts = head.fields.all(RETRY_AFTER);
     let longest = texts
-        .map(|text| read_words(router, server, text))
+        .map(|text| parse_pause_field(router, server, text))
         .max()
         .unwrap_or_default();
     if longest == ClockSpan::ZERO {
@@ -66,10 +66,10 @@
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
     let entry = servers.get_mut(server);
-    let fresh = entry.is_some_and(|entry| entry.pause(now, longest));
+    let changed = entry.is_some_and(|entry| entry.pause(now, longest));
     drop(servers);
     metrics::counter!("guavawell_forward_server_pauses_total").increment(1);
-    if fresh {
+    if changed {
         let draft = EventDraft::new("server.pauses")
             .field("server", server)
             .field("for_ms", longest.as_millis());
@@ -77,7 +77,7 @@
     }
 }
 
-fn read_words(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
+fn parse_pause_field(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
     let text = String::from_utf8_lossy(text);
     let (pause, error) = read_pause(&text);
     if let Some(error) = error {
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -15,7 +15,7 @@
 use guavawell_core::id::ZoneId;
 use guavawell_core::poison::PoisonSettings;
 
-use crate::names::FieldNames;
+use crate::field_names::FieldNames;
 
 /// Each server writes its entry every second or so, and an answer to each
 /// write would be a call of its own. A server that leaves serves three seconds
--- a/crates/guavawell-forward/src/leave.rs
+++ b/crates/guavawell-forward/src/shutdown.rs
@@ -13,12 +13,12 @@
 use crate::router::RouterPhase;
 
 /// Pause between looks at whether all requests have ended.
-const TICK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Leaves: from now on the process is not ready and ends connections after
 /// their present answer; returns once the process may exit. Returns whether
 /// every request had ended.
-pub async fn leave(router: &Rc<ForwardRouter>) -> bool {
+pub async fn shut_down(router: &Rc<ForwardRouter>) -> bool {
     let times = &router.settings.times;
     let began = router.clock.now();
     router.phase.set(RouterPhase::Leaving(began));
@@ -27,19 +27,19 @@
     let announced = async {
         Timer::after(timer_span(times.announce)).await;
     };
-    let told = async {
+    let announced_to_peers = async {
         router.budgets.announce_leaving().await;
         std::future::pending::<()>().await;
     };
-    announced.or(told).await;
-    let end = router.cut_at().unwrap_or(began);
+    announced.or(announced_to_peers).await;
+    let end = router.abort_at().unwrap_or(began);
     wait_for_requests(router, end).await;
     // From here on callers are sent elsewhere, so that none is cut by the end.
     router.phase.set(RouterPhase::Closing(began));
-    let late = async {
+    let timeout = async {
         Timer::after(timer_span(times.give_back)).await;
     };
-    router.budgets.give_back().or(late).await;
+    router.budgets.give_back().or(timeout).await;
     wait_for_requests(router, end).await;
     let finished = router.held_requests.get() == 0;
     let draft = EventDraft::new("process.left").field("unfinished", router.held_requests.get());
@@ -50,6 +50,6 @@
 /// Waits until no request is held, or until `end`.
 async fn wait_for_requests(router: &ForwardRouter, end: ClockTime) {
     while router.held_requests.get() > 0 && router.clock.now() < end {
-        Timer::after(TICK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/guavawell-forward/src/events.rs
+++ b/crates/guavawell-forward/src/sse.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventScan {
     /// Bytes up to the end of the last whole event.
-    pub whole: usize,
+    pub complete_bytes: usize,
     /// Whole events in them.
     pub count: u64,
     /// The id of the first whole event, if it has one.
@@ -19,23 +19,23 @@
 pub fn scan_events(bytes: &[u8]) -> EventScan {
     let mut scan = EventScan::default();
     let mut line_start = 0;
-    let mut has_lines = false;
+    let mut in_event = false;
     let mut id = None;
     while let Some(length) = bytes[line_start..].iter().position(|byte| *byte == b'\n') {
         let line = bytes[line_start..line_start + length].trim_ascii_end();
         line_start += length + 1;
         if !line.is_empty() {
-            has_lines = true;
+            in_event = true;
             id = event_id(line).or(id);
             continue;
         }
-        if has_lines {
+        if in_event {
             scan.count += 1;
             scan.first_id = scan.first_id.or(id);
             scan.last_id = id.or(scan.last_id);
         }
-        scan.whole = line_start;
-        has_lines = false;
+        scan.complete_bytes = line_start;
+        in_event = false;
         id = None;
     }
     scan
--- a/crates/guavawell-forward/tests/http.rs
+++ b/crates/guavawell-forward/tests/http.rs
@@ -1,10 +1,10 @@
 //! Heads and bodies from outside, cut at every place and spoiled at random.
 
-use guavawell_forward::events::scan_events;
 use guavawell_forward::http::BodyDecoder;
 use guavawell_forward::http::BodyFraming;
 use guavawell_forward::http::RequestHead;
 use guavawell_forward::http::ResponseHead;
+use guavawell_forward::sse::scan_events;
 
 fn decode_in_parts(framing: BodyFraming, bytes: &[u8], cut: usize) -> Option<Vec<u8>> {
     let mut decoder = BodyDecoder::new(framing);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_length_takes_its_bytes_and_leaves_the_rest() {
+fn a_body_of_known_length_ends_after_that_many_bytes() {
     let mut decoder = BodyDecoder::new(BodyFraming::Length(3));
     let mut body = Vec::new();
     assert_eq!(decoder.decode(b"abcdef", &mut body), Ok(3));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn spoiled_heads_never_panic_and_never_invent_a_host() {
+fn corrupted_heads_never_panic_and_the_intact_head_has_its_host() {
     let good =
         b"POST /a/b?c HTTP/1.1\r\nHost: one.example:80\r\nX-A: 1\r\nContent-Length: 5\r\n\r\n";
     let mut random = fastrand::Rng::with_seed(5);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn spoiled_chunks_never_panic() {
+fn corrupted_chunks_never_panic() {
     let mut random = fastrand::Rng::with_seed(6);
     for _ in 0..20_000 {
         let length = random.usize(..40);
@@ -120,15 +120,15 @@
 }
 
 #[test]
-fn only_whole_events_count() {
+fn only_complete_events_are_counted() {
     let bytes = b"id: 3\ndata: a\n\nid: 4\ndata: b\n\nid: 5\nda";
     let scan = scan_events(bytes);
     assert_eq!(
         (scan.count, scan.first_id, scan.last_id),
         (2, Some(3), Some(4))
     );
-    assert_eq!(&bytes[scan.whole..], b"id: 5\nda");
-    assert_eq!(scan_events(b"data: half").whole, 0);
+    assert_eq!(&bytes[scan.complete_bytes..], b"id: 5\nda");
+    assert_eq!(scan_events(b"data: half").complete_bytes, 0);
     let windows = scan_events(b"id: 1\r\ndata: a\r\n\r\n");
     assert_eq!((windows.count, windows.last_id), (1, Some(1)));
 }
--- a/crates/guavawell-forward/tests/schedule.rs
+++ b/crates/guavawell-forward/tests/schedule.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn requests_end_beside_calls_that_go_on() {
+fn requests_finish_while_control_tasks_keep_running() {
     let queues = TaskQueues::default();
     queues
         .control
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -23,7 +23,7 @@
 use guavawell_forward::clock::SteadyClock;
 use guavawell_forward::config::ConfigDesk;
 use guavawell_forward::config::ConfigTold;
-use guavawell_forward::names::FieldNames;
+use guavawell_forward::field_names::FieldNames;
 use guavawell_forward::peer::PeerDesk;
 use guavawell_forward::poison::PoisonDesk;
 use guavawell_forward::router::ForwardRouter;
@@ -117,25 +117,29 @@
 }
 
 #[test]
-fn requests_of_the_first_moment_wait_until_configuration_and_servers_are_read() {
+fn requests_wait_until_configuration_servers_and_suspects_are_read() {
     let router = router();
     block_on(async {
-        let mut first = Box::pin(router.wait_informed());
+        let mut first = Box::pin(router.wait_for_initial_state());
         assert!(poll_once(&mut first).await.is_none());
         let told = ConfigTold::Row(b"the first", 1);
-        router.config_told(told, router.clock.boot_now());
+        router.config_received(told, router.clock.boot_now());
         assert!(
             poll_once(&mut first).await.is_none(),
             "no server is known yet"
         );
-        router.list_all(Vec::new(), &[]);
+        router.replace_server_list(Vec::new(), &[]);
         assert!(
             poll_once(&mut first).await.is_none(),
             "what crashes servers is not known yet"
         );
-        router.poison_read();
+        router.suspects_loaded();
         assert!(poll_once(&mut first).await.is_some());
         // Later requests do not wait.
-        assert!(poll_once(Box::pin(router.wait_informed())).await.is_some());
+        assert!(
+            poll_once(Box::pin(router.wait_for_initial_state()))
+                .await
+                .is_some()
+        );
     });
 }
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_newest_try_that_fails_is_told_at_once_and_an_open_one_still_counts() {
+fn a_failure_of_the_newest_try_is_returned_at_once_and_an_open_one_still_counts() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let late: NumberTry = Box::pin(async {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_earlier_try_that_fails_is_not_the_end() {
+fn a_failure_of_an_earlier_try_is_ignored() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let later: NumberTry = Box::pin(async {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_failure_that_leaves_no_try_is_told_at_once() {
+fn a_failure_without_other_open_tries_is_returned_at_once() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let told = tries.first_answer(failed(), NEVER).await;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_answer_ends_the_other_tries_and_the_oldest_gives_way() {
+fn an_answer_cancels_all_other_tries_and_a_new_try_replaces_the_oldest() {
     smol::block_on(async {
         let mut tries = OpenTries::new(2);
         let slow = |number, millis| -> NumberTry {
