--- a/crates/guavawell-forward/src/accept.rs
+++ b/crates/guavawell-forward/src/accept.rs
@@ -1,4 +1,4 @@
-//! Listening sockets and the connections that come to them.
+//! Opens listening sockets and accepts connections.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -14,17 +14,17 @@
 
 use crate::http::HttpChannel;
 
-/// Connections that wait to be accepted. One that finds the queue full comes
-/// back only after a second.
+/// Length of the queue of connections that wait to be accepted. If the queue is
+/// full, TCP repeats the opening packet only after a second.
 const ACCEPT_QUEUE: i32 = 1_024;
-/// Pause after a failure to accept, for instance without descriptors.
+/// Pause after a failed accept, for example when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// The address is not to be had.
+/// The socket cannot be created or bound to the address.
 pub fn listen(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -37,15 +37,15 @@
     Async::new(TcpListener::from(socket))
 }
 
-/// Hands every connection to `serve` for as long as the process lives. `whom`
-/// names the other side in warnings.
+/// Accepts connections until the process ends and passes each one to `serve`.
+/// `whom` names the kind of client in warnings.
 pub async fn accept_all(whom: &str, listener: &Async<TcpListener>, serve: impl Fn(HttpChannel)) {
     loop {
         let accepted = listener.accept().await;
         match accepted.and_then(|(stream, _)| HttpChannel::new(stream)) {
             Ok(channel) => serve(channel),
             Err(error) => {
-                log::warn!("no {whom} accepted: {error}");
+                log::warn!("failed to accept a {whom} connection: {error}");
                 Timer::after(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/guavawell-forward/src/admin.rs
+++ b/crates/guavawell-forward/src/admin.rs
@@ -1,4 +1,5 @@
-//! Readiness and metrics.
+//! The HTTP endpoint for health checks, metrics and the list of suspected
+//! requests.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -17,17 +18,17 @@
 use crate::peer::KEY_FIELD;
 use crate::router::ForwardRouter;
 
-/// Where the requests that are suspected of crashing servers are listed.
+/// Path that lists the requests suspected of crashing servers.
 const SUSPECTS_PATH: &str = "/suspects";
-/// What comes before the fingerprint of a request that is not to be suspected any
-/// more.
+/// Path prefix that clears the suspicion of the request whose fingerprint
+/// follows.
 const ACQUIT_PATH: &str = "/suspects/acquit/";
-/// Largest head of a question, in bytes.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest time that a connection of a prober stays idle.
+/// Longest time that a connection may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers the balancer's probes and the collector's questions.
+/// Serves health checks, metrics and operators' requests.
 pub async fn serve_admin(
     router: Rc<ForwardRouter>,
     listener: Async<TcpListener>,
@@ -39,7 +40,7 @@
         let metrics = metrics.clone();
         let serve = async move {
             if let Err(error) = serve_connection(&router, channel, &metrics).await {
-                log::debug!("a probe's connection ended: {error}");
+                log::debug!("admin connection failed: {error}");
             }
         };
         executor.spawn(serve).detach();
@@ -87,8 +88,7 @@
     }
 }
 
-/// Takes back what is believed of a request, if the fleet's key comes with the
-/// demand.
+/// Clears the suspicion of a request. The caller must send the fleet's key.
 fn acquit(router: &ForwardRouter, head: &RequestHead) -> (u16, String) {
     if !router.peers.knows_key(head.fields.get(KEY_FIELD)) {
         return (
--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend server.
+//! Sends a request to one backend server and relays the response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -36,29 +36,31 @@
 use crate::serve::ForwardCall;
 use crate::server_status::apply_server_status;
 
-/// Largest head of a server's answer, in bytes.
+/// Largest head of a server's response, in bytes.
 const MAX_RESPONSE_HEAD: usize = 32 * 1024;
-/// Pause between looks at whether a silent server deserves more time.
+/// Time by which the wait for a busy server is extended before the server is
+/// checked again.
 const WAIT_EXTENSION: ClockSpan = ClockSpan::from_millis(200);
-/// Largest answer to another request that is read past, in bytes.
+/// Largest response to another request that is skipped, in bytes.
 const MAX_STRAY_BODY: usize = 256 * 1024;
 
-/// What became of an attempt.
+/// The result of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The caller has the answer, with this status; whether its connection may
-    /// be used again.
+    /// The response was sent to the caller: its status, and whether the
+    /// caller's connection may be reused.
     Delivered(u16, bool),
-    /// The caller's connection failed.
+    /// The connection to the caller failed.
     CallerDisconnected,
-    /// The answer broke off after its beginning was sent, and nothing can
-    /// continue it.
+    /// The response broke off after part of it was sent to the caller, and no
+    /// other server can continue it.
     Truncated,
-    /// No complete answer; the server's own failure if it told one.
+    /// The attempt brought no complete response, or a server error. Holds the
+    /// server's error response if there is one.
     Ended(AttemptEnd, Option<BufferedResponse>),
 }
 
-/// Sends a request to a server and relays the answer.
+/// Connects to a server, sends the request and relays the response.
 pub async fn send_attempt(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -84,7 +86,8 @@
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
     }
     if router.poison.refused_for(call.fingerprint).is_some() {
-        // It became known while the connection was opened.
+        // The request became suspected of crashing servers while the connection
+        // was being opened.
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
     }
     progress.sent += 1;
@@ -97,7 +100,8 @@
     outcome
 }
 
-/// What is remembered of an attempt if nobody waits for its answer.
+/// Describes an attempt, for the case that its server crashes after the attempt
+/// was given up.
 #[must_use]
 pub fn abandoned_attempt(
     call: &ForwardCall<'_>,
@@ -113,7 +117,7 @@
     }
 }
 
-/// Sends the request over a connection and relays the answer.
+/// Sends the request over an open connection and relays the response.
 async fn exchange_and_relay(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -145,8 +149,8 @@
     }
 }
 
-/// Whether the server said that it did not run the request. A malformed
-/// request is the caller's to know.
+/// Whether the server states that it did not run the request. A 400 is relayed
+/// instead: the caller has to correct the request.
 fn is_rejection(router: &ForwardRouter, head: &ResponseHead) -> bool {
     let not_run = head.fields.get(router.settings.names.not_run).is_some();
     head.status == 421 || (not_run && head.status != 400)
@@ -154,7 +158,7 @@
 
 fn note_rejection(router: &ForwardRouter, server: &ServerLife, response: IncomingResponse) {
     if response.head.status == 421 {
-        // Another server has the address: this one is gone.
+        // Another server has taken over the address, so this one is gone.
         let mut servers = router.servers.borrow_mut();
         servers.remove(server, ServerPhase::Leaving);
         router.pool.borrow_mut().drop_connections(server);
@@ -175,7 +179,7 @@
     }
 }
 
-/// Sends the request and waits for the head of its answer.
+/// Sends the request and waits for the head of the response.
 async fn exchange(
     router: &Rc<ForwardRouter>,
     call: &ForwardCall<'_>,
@@ -190,8 +194,8 @@
     let is_head_request = call.request.head.method.as_ref() == "HEAD";
     let write = async {
         let written = (&*stream).write_all(&bytes).await;
-        // A server may answer without reading the whole request, so a failure
-        // to write is not yet the end.
+        // A server may respond without reading the whole request, so a write
+        // error does not end the attempt.
         sent.set(written.is_ok());
         std::future::pending().await
     };
@@ -213,8 +217,9 @@
             }
         }
     };
-    // What the former life of a server that started again was sent is lost;
-    // what it still answered goes first.
+    // A server that has restarted cannot respond to requests that were sent to
+    // it before. A response that has already arrived is still read first, since
+    // the read is polled before this future.
     let restarted = async {
         guard.server_restarted().await;
         Err(ChannelError::Closed)
@@ -233,7 +238,7 @@
         }
         Err(error) => {
             guard.note_outcome(true);
-            log::debug!("no answer from {}: {error}", guard.server());
+            log::debug!("no response from {}: {error}", guard.server());
             let timed_out = matches!(error, ChannelError::TimedOut);
             Err(if timed_out {
                 AttemptEnd::Silent
@@ -244,8 +249,9 @@
     }
 }
 
-/// Whether to go on waiting for a head after the attempt's time is over: a
-/// stream's server that talks to others is only busy.
+/// Whether to keep waiting for the head after the attempt's time limit. A
+/// streaming server that still sends data to other requests is taken to be
+/// busy, not dead.
 fn should_keep_waiting(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
@@ -255,7 +261,7 @@
     call.route.streaming && left > ClockSpan::default() && !guard.is_silent()
 }
 
-/// How long an attempt may go without the head of an answer.
+/// How long an attempt waits for the head of the response.
 fn attempt_limit(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
@@ -276,9 +282,8 @@
     limit.min(left)
 }
 
-/// Reads the head of the answer that `is_own` tells to be the request's. Answers
-/// to other requests that come before it are read past; the connection is not
-/// used again after them.
+/// Reads response heads until `is_own` accepts one. Responses to other requests
+/// that arrive first are skipped; the connection is not reused after them.
 async fn response_head(
     channel: &mut HttpChannel,
     is_head_request: bool,
@@ -301,13 +306,14 @@
 async fn skip_body(channel: &mut HttpChannel, head: &ResponseHead) -> Result<(), ChannelError> {
     channel.body(head.framing, MAX_STRAY_BODY).await?;
     if head.framing == BodyFraming::UntilClose {
-        // Nothing comes after it.
+        // A body without a length lasts until the connection is closed, so no
+        // other response follows.
         return Err(ChannelError::Closed);
     }
     Ok(())
 }
 
-/// The time until the request's end, for a step that must end by then.
+/// The time until `deadline`, as a timeout.
 #[must_use]
 pub fn time_left(router: &ForwardRouter, deadline: ClockTime) -> std::time::Duration {
     timer_span(router.clock.left(deadline))
--- a/crates/guavawell-forward/src/callers.rs
+++ b/crates/guavawell-forward/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one task each.
+//! Accepts callers' connections and serves each one in its own task.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -23,10 +23,10 @@
 use crate::router::ForwardRouter;
 use crate::serve::serve_request;
 
-/// Longest time that a body may take for each started mebibyte.
+/// Longest wait for the next part of a request body.
 const BODY_TIME: Duration = Duration::from_secs(10);
 
-/// Accepts callers for as long as the process lives.
+/// Accepts callers' connections until the process ends.
 pub async fn accept_callers(
     router: Rc<ForwardRouter>,
     listener: Async<TcpListener>,
@@ -41,14 +41,14 @@
     accept_all("caller", &listener, serve).await;
 }
 
-/// A whole request.
+/// A request that was received completely.
 #[derive(Debug)]
 pub struct ReceivedRequest {
-    /// Its head.
+    /// The head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// The body, decoded.
     pub body: Vec<u8>,
-    /// When its head was whole.
+    /// When the head had been received.
     pub received_at: ClockTime,
 }
 
@@ -79,7 +79,7 @@
         .field("status", response.status());
     router.log.emit(draft);
     if let Err(error) = response.send(channel, None, false).await {
-        log::debug!("a refusal was not delivered: {error}");
+        log::debug!("failed to send a refusal to the caller: {error}");
     }
 }
 
@@ -88,7 +88,8 @@
     config.map(|config| config.limits).unwrap_or_default()
 }
 
-/// Receives one request; `Err(None)` if the connection just ends.
+/// Receives one request. `Err(None)` means that the connection is closed
+/// without a response.
 async fn receive(
     router: &ForwardRouter,
     channel: &mut HttpChannel,
--- a/crates/guavawell-forward/src/clock.rs
+++ b/crates/guavawell-forward/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock: the only place that reads it.
+//! The monotonic clock. Only this module reads the system's clocks.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,15 +12,15 @@
 use rustix::time::clock_gettime;
 use smol::Timer;
 
-/// Steady time since this process started. It stands still while the machine
-/// is suspended and never jumps with the time of day.
+/// Monotonic time since the process started. It does not advance while the
+/// machine is suspended, and changes of the wall clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct SteadyClock {
     origin: Instant,
 }
 
 impl SteadyClock {
-    /// A clock that starts at [`SteadyClock::ORIGIN`].
+    /// Starts a clock at [`SteadyClock::ORIGIN`].
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -28,18 +28,20 @@
         }
     }
 
-    /// The first time: far from zero, so that spans before it can be told.
+    /// The time at which the clock starts. It is far from zero so that times
+    /// before the start of the process can be represented.
     pub const ORIGIN: ClockTime = ClockTime::from_millis(1_000_000);
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> ClockTime {
         let millis = self.origin.elapsed().as_millis();
         Self::ORIGIN + ClockSpan::from_millis(u64::try_from(millis).unwrap_or(u64::MAX))
     }
 
-    /// The time since the machine's start, suspensions included: what is known
-    /// ages in them as well. Not to be compared with [`now`](Self::now).
+    /// The time since the machine started, including suspensions. It measures
+    /// the age of cached data, which also grows while the machine is suspended.
+    /// Do not compare it with [`now`](Self::now).
     #[must_use]
     pub fn boot_now(&self) -> ClockTime {
         let time = clock_gettime(ClockId::Boottime);
@@ -48,20 +50,20 @@
         ClockTime::from_millis(seconds * 1_000 + millis)
     }
 
-    /// The time left until `end`.
+    /// The time left until `end`, zero if it has passed.
     #[must_use]
     pub fn left(&self, end: ClockTime) -> ClockSpan {
         end.since(self.now())
     }
 }
 
-/// A span for timers.
+/// Converts a span to the type that timers take.
 #[must_use]
 pub const fn timer_span(span: ClockSpan) -> Duration {
     Duration::from_millis(span.as_millis())
 }
 
-/// Waits until a bell rings, for `limit` at most.
+/// Waits for a notification, for `limit` at most.
 pub async fn wait_until(notification: EventListener, limit: Duration) {
     let late = async {
         Timer::after(limit).await;
@@ -69,8 +71,9 @@
     notification.or(late).await;
 }
 
-/// Waits while a condition holds, for `patience` at most; whether it ended.
-/// `changed` rings whenever it may have.
+/// Waits while `condition` holds, for `patience` at most. Returns whether it
+/// stopped holding in time. `changed` must be notified whenever the condition
+/// may have changed.
 pub async fn wait_while(
     clock: &SteadyClock,
     changed: &Event,
@@ -89,7 +92,8 @@
     true
 }
 
-/// Waits until something is due. `changed` rings whenever that may have changed.
+/// Waits until the time that `due` returns. `changed` must be notified whenever
+/// that time may have changed.
 pub async fn wait_due(clock: &SteadyClock, changed: &Event, due: impl Fn() -> Option<ClockTime>) {
     loop {
         let notification = changed.listen();
--- a/crates/guavawell-forward/src/connect.rs
+++ b/crates/guavawell-forward/src/connect.rs
@@ -1,4 +1,5 @@
-//! A connection for an attempt: an idle one of the pool, or a new one.
+//! Provides the connection for an attempt: an idle one from the pool or a new
+//! one.
 
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::RepeatKind;
@@ -11,8 +12,8 @@
 use crate::router::ForwardRouter;
 use crate::serve::ForwardCall;
 
-/// Opens a connection to a server; `None` if it is not to be had, and others are
-/// asked first for a while.
+/// Returns a connection to a server. On failure returns `None`, and other
+/// servers are preferred for a while.
 pub async fn open_channel(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
@@ -36,14 +37,14 @@
     match result {
         Ok(channel) => Some(channel),
         Err(error) => {
-            log::debug!("no connection to {server}: {error}");
+            log::debug!("cannot connect to {server}: {error}");
             note_connect_failure(router, server, &error);
             None
         }
     }
 }
 
-/// Takes note of how long the connection took, or that it did not stand in time.
+/// Records how long a connection took to open, or that it timed out.
 fn note_connect_time(router: &ForwardRouter, error: Option<&ChannelError>, began: ClockTime) {
     let mut pace = router.connect_pace.get();
     if matches!(error, Some(ChannelError::TimedOut)) {
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -1,13 +1,13 @@
-//! Whether a server that broke an answer off has crashed.
+//! Detects whether a server that broke off a response has crashed.
 //!
-//! A crash, a connection that was reset and an answer that was lost look alike
-//! on one connection. What tells them apart is a new connection: a server whose
-//! process has ended refuses it, all others take it. One that is cut off does
-//! neither, and nothing is believed of it.
+//! On a single connection, a crash looks like a reset connection or a lost
+//! response. A new connection tells them apart: it is refused if the server's
+//! process has ended and accepted otherwise. If it is neither refused nor
+//! accepted, the server may be unreachable, and no crash is assumed.
 //!
-//! A process that ends closes its connections one by one, its listener perhaps
-//! last. So a connection that was taken is looked at again after a moment: one
-//! that stayed open shows that the server lives.
+//! A process that ends closes its connections one by one and may close its
+//! listener last. An accepted connection is therefore checked again after a
+//! short delay: if it is still open, the server is alive.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -30,62 +30,66 @@
 use crate::http::HttpChannel;
 use crate::router::ForwardRouter;
 
-/// Longest wait for a connection that tells: a refusal takes one way there and
-/// back, and a request that may be repeated waits for it.
+/// Timeout of the connection that checks for a crash. A refusal takes one round
+/// trip, and a request that may be retried waits for it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after which a connection that a server took is looked at again: a
-/// process of many connections closes all of them in less.
+/// Delay after which an accepted connection is checked again. A process with
+/// many connections closes all of them in less time.
 const RECHECK_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for another request's look at the same server.
+/// Longest wait for the result of a check that another request has started.
 const SHARED_CHECK_TIMEOUT: ClockSpan = ClockSpan::from_millis(150);
-/// How long a look that found no crash stands for requests that broke off
-/// meanwhile.
+/// How long the result "no crash" applies to other requests that break off.
 const NO_CRASH_TTL: ClockSpan = ClockSpan::from_millis(20);
-/// How long before a crash an attempt may have been abandoned for the crash to
-/// count: requests wait at a busy server for about as long as they run.
+/// Longest time between giving up an attempt and a crash that is attributed to
+/// it. Requests queue at a busy server for about as long as they run, so a
+/// server may start a request after the attempt was given up.
 const ABANDONED_TTL: ClockSpan = ClockSpan::from_millis(2_000);
-/// Abandoned attempts that are remembered: those of a second of a busy instance.
+/// Number of abandoned attempts that are kept: about as many as a busy instance
+/// abandons in one second.
 const MAX_ABANDONED: usize = 256;
-/// How long looks are remembered.
+/// How long checks are kept.
 const CHECK_TTL: ClockSpan = ClockSpan::from_millis(5_000);
 
-/// One look at a server.
+/// One check of a server.
 #[derive(Debug)]
 struct CrashCheck {
     server: ServerLife,
     began: ClockTime,
-    /// Whether it has crashed, once that is known.
+    /// Whether the server has crashed; `None` until the check is finished.
     crashed: Cell<Option<bool>>,
     finished: Event,
 }
 
-/// An attempt that ended before its server told anything: it took too long, or
-/// its caller left. The server may still have run it.
+/// An attempt that was given up before the server responded, because it took
+/// too long or the caller disconnected. The server may still run the request.
 #[derive(Clone, Debug)]
 pub struct AbandonedAttempt {
-    /// The server.
+    /// The server to which the request was sent.
     pub server: ServerLife,
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub organisation: OrganisationTag,
-    /// How far it was suspected when it was sent.
+    /// The suspicion of the request when it was sent.
     pub began: SuspicionMark,
 }
 
-/// Looks at servers: one serves all requests that a crash breaks off.
+/// Checks whether servers have crashed. All requests that one crash breaks off
+/// share one check.
 #[derive(Debug, Default)]
 pub struct CrashChecks {
     checks: RefCell<Vec<Rc<CrashCheck>>>,
-    /// The last attempts that were abandoned, oldest first.
+    /// The latest abandoned attempts, oldest first.
     abandoned: RefCell<VecDeque<(ClockTime, AbandonedAttempt)>>,
-    /// Connections that servers took, to be looked at again.
+    /// Connections that servers accepted and that are still to be checked
+    /// again.
     accepted: RefCell<Vec<(ServerLife, HttpChannel)>>,
     accepted_event: Event,
 }
 
 impl CrashChecks {
-    /// A look that still tells of the server now.
+    /// Returns a check of the server whose result still applies, or that is
+    /// still running.
     fn find(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
         let mut checks = self.checks.borrow_mut();
         checks.retain(|check| now.since(check.began) < CHECK_TTL);
@@ -94,7 +98,8 @@
             let is_fresh = match check.crashed.get() {
                 Some(true) => true,
                 Some(false) => age < NO_CRASH_TTL,
-                // Older ones ended with the request that looked.
+                // An older check without a result was cancelled with the
+                // request that ran it.
                 None => age < SHARED_CHECK_TIMEOUT,
             };
             check.server == *server && is_fresh
@@ -113,8 +118,8 @@
         check
     }
 
-    /// Remembers an attempt for the case that its server crashes, or turns out
-    /// to have crashed.
+    /// Keeps an attempt, in case its server crashes or is later found to have
+    /// crashed.
     fn remember_abandoned(&self, now: ClockTime, attempt: AbandonedAttempt) {
         let mut abandoned = self.abandoned.borrow_mut();
         if abandoned.len() >= MAX_ABANDONED {
@@ -123,7 +128,8 @@
         abandoned.push_back((now, attempt));
     }
 
-    /// Attempts that were abandoned at a server shortly before it crashed.
+    /// Removes and returns the attempts that were abandoned at a server within
+    /// [`ABANDONED_TTL`].
     fn take_abandoned(&self, server: &ServerLife, now: ClockTime) -> Vec<AbandonedAttempt> {
         let mut abandoned = self.abandoned.borrow_mut();
         abandoned.retain(|(at, _)| now.since(*at) < ABANDONED_TTL);
@@ -135,8 +141,9 @@
     }
 }
 
-/// Remembers an attempt unless it is told that the server said what became of
-/// it. Dropped with a request whose caller left.
+/// Records an attempt as abandoned when it is dropped, unless
+/// [`settle`](Self::settle) was called. It is dropped unsettled if the caller
+/// disconnects.
 #[derive(Debug)]
 pub struct AttemptWatch {
     router: Rc<ForwardRouter>,
@@ -144,7 +151,7 @@
 }
 
 impl AttemptWatch {
-    /// Watches an attempt that is about to be sent.
+    /// Starts to watch an attempt that is about to be sent.
     #[must_use]
     pub fn new(router: &Rc<ForwardRouter>, attempt: AbandonedAttempt) -> Self {
         Self {
@@ -153,7 +160,8 @@
         }
     }
 
-    /// What became of the attempt is known.
+    /// Marks the outcome of the attempt as known, so that it is not recorded as
+    /// abandoned.
     pub fn settle(&mut self) {
         self.attempt = None;
     }
@@ -168,8 +176,9 @@
     }
 }
 
-/// Takes note of an attempt that its server broke off: it counts at once if the
-/// server has crashed, and later if that turns out.
+/// Handles an attempt whose server broke off the response. The crash is
+/// reported at once if the server has crashed. Otherwise the attempt is kept,
+/// in case a crash is detected later.
 pub async fn note_lost_attempt(router: &ForwardRouter, attempt: AbandonedAttempt) {
     if has_crashed(router, &attempt.server).await {
         router.poison.crashed(&attempt);
@@ -180,7 +189,8 @@
     }
 }
 
-/// Whether a server that just broke off has crashed. One that leaves has not.
+/// Whether a server that just broke off a response has crashed. A leaving
+/// server is never treated as crashed.
 async fn has_crashed(router: &ForwardRouter, server: &ServerLife) -> bool {
     let listed = router.servers.borrow().get(server).map(|held| held.phase);
     if listed == Some(ServerPhase::Leaving) {
@@ -197,7 +207,8 @@
     crashed
 }
 
-/// Waits for another request's look; if that request ended, nothing is known.
+/// Waits for the result of a check that another request runs. Returns false if
+/// that check was cancelled.
 async fn wait_for_result(check: &CrashCheck) -> bool {
     let finished = check.finished.listen();
     if let Some(crashed) = check.crashed.get() {
@@ -224,14 +235,14 @@
             true
         }
         Err(error) => {
-            log::debug!("whether {server} has crashed is not known: {error}");
+            log::debug!("cannot determine whether {server} has crashed: {error}");
             false
         }
     }
 }
 
-/// Looks again at servers that took a connection, for as long as the process
-/// lives. One that closed it and refuses the next has crashed.
+/// Checks accepted connections again, until the process ends. A server that has
+/// closed such a connection and refuses the next one has crashed.
 pub async fn recheck_connections(router: Rc<ForwardRouter>) {
     loop {
         let accepted_event = router.crashes.accepted_event.listen();
@@ -262,8 +273,9 @@
     }
 }
 
-/// A server refused a connection: others are asked first for a while, and what
-/// was abandoned there lately is held against the requests.
+/// Handles a refused connection: other servers are preferred for a while.
+/// Unless the server was leaving, the refusal counts as a crash, and requests
+/// abandoned at the server shortly before are suspected.
 pub fn note_refused(router: &ForwardRouter, server: &ServerLife) {
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
--- a/crates/guavawell-forward/src/field_names.rs
+++ b/crates/guavawell-forward/src/field_names.rs
@@ -1,32 +1,34 @@
-//! Header names of the interface, given by whoever translates it.
+//! Names of the HTTP header fields that forwarding uses.
 
-/// The names of header fields that carry what forwarding needs.
+/// The names of the header fields that callers, this router and backend servers
+/// exchange.
 ///
-/// They belong to the deployment, so they are data and not constants here.
+/// The names depend on the deployment, so the binary passes them in.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldNames {
-    /// The caller's id of the request; echoed by backend servers.
+    /// The caller's request id; backend servers echo it.
     pub request: &'static str,
-    /// Milliseconds that the caller still waits.
+    /// How many more milliseconds the caller waits.
     pub time_left: &'static str,
-    /// Prompt tokens and most output tokens.
+    /// Number of prompt tokens and the maximum number of output tokens.
     pub usage: &'static str,
-    /// Parts of the prompt.
+    /// Description of the prompt's parts.
     pub prompt: &'static str,
-    /// The last event that the caller of a stream has.
+    /// Id of the last event that the caller of a stream has received.
     pub last_event: &'static str,
-    /// Set by this router: the organisation.
+    /// Set by this router: the organisation that sent the request.
     pub organisation: &'static str,
-    /// Set by this router: the server's life that is meant.
+    /// Set by this router: the id of the server for which the request is meant.
     pub expected_server: &'static str,
-    /// Set by this router: the request's rank.
+    /// Set by this router: the request's priority.
     pub priority: &'static str,
-    /// A server's word that it did not run the request.
+    /// Set by a server that did not run the request.
     pub not_run: &'static str,
-    /// A server's load: running, waiting, slots.
+    /// A server's load: requests running, requests waiting, slots.
     pub load: &'static str,
-    /// A server's word that it leaves.
+    /// Set by a server that is leaving.
     pub leaving: &'static str,
-    /// Further fields that only the system may set; a caller's are dropped.
+    /// Further fields that only the system may set. They are removed from
+    /// callers' requests.
     pub reserved: &'static [&'static str],
 }
--- a/crates/guavawell-forward/src/housekeeping.rs
+++ b/crates/guavawell-forward/src/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What the process looks at every half second: what it no longer needs, how old
-//! its configuration may be, and whether it ran at all.
+//! Periodic tasks: removes expired state, reports the age of the configuration,
+//! and detects when the process was paused.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,13 +10,12 @@
 
 use crate::router::ForwardRouter;
 
-/// Pause between looks.
+/// Interval between two runs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How much longer a pause may take before the process counts as one that did
-/// not run.
+/// How late a run may be before the process counts as paused.
 const PAUSE_SLACK: ClockSpan = ClockSpan::from_millis(300);
 
-/// Looks for as long as the process lives.
+/// Runs the periodic tasks until the process ends.
 pub async fn run_housekeeping(router: Rc<ForwardRouter>) {
     let mut before = router.clock.boot_now();
     loop {
@@ -29,8 +28,8 @@
     }
 }
 
-/// Tells of a time in which the process did not run, or the machine was
-/// suspended: what callers sent meanwhile waited.
+/// Logs that the process did not run for a while, for example because the
+/// machine was suspended. Callers' requests waited during that time.
 fn report_pause(router: &ForwardRouter, passed: ClockSpan) {
     let expected = u64::try_from(CHECK_INTERVAL.as_millis()).unwrap_or(u64::MAX);
     let overrun = passed.as_millis().saturating_sub(expected);
@@ -42,7 +41,8 @@
     router.log.emit(draft);
 }
 
-/// Drops idle connections, servers that left and suspicions that are over.
+/// Removes expired idle connections, servers that have left, and expired
+/// suspicions.
 fn sweep(router: &ForwardRouter) {
     let now = router.clock.now();
     router.pool.borrow_mut().sweep(now);
--- a/crates/guavawell-forward/src/in_flight.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! One request in flight at a backend server.
+//! Tracks one request in flight at a backend server.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 
 use crate::router::ForwardRouter;
 
-/// Counts a request at a server while it runs there.
+/// Counts a request in its server's load until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     router: Rc<ForwardRouter>,
     server: ServerLife,
     unread: Cell<u64>,
     memory: u64,
-    /// The request, if servers have crashed under it.
+    /// The request's fingerprint, if servers have crashed while running it.
     suspect: Option<RequestFingerprint>,
 }
 
 impl InFlightGuard {
-    /// Counts a request that is about to be sent.
+    /// Counts a request that is about to be sent to the picked server.
     #[must_use]
     pub fn new(
         router: &Rc<ForwardRouter>,
@@ -44,19 +44,19 @@
         }
     }
 
-    /// The server.
+    /// The server that runs the request.
     #[must_use]
     pub const fn server(&self) -> &ServerLife {
         &self.server
     }
 
-    /// Bytes of the server were received.
+    /// Records that bytes were received from the server.
     pub fn note_received(&self) {
         let now = self.router.clock.now();
         self.change(|server| server.health.heard_at = now);
     }
 
-    /// The server has read the prompt.
+    /// Records that the server has processed the prompt.
     pub fn prompt_read(&self) {
         let unread = self.unread.replace(0);
         self.change(|server| {
@@ -64,7 +64,8 @@
         });
     }
 
-    /// Whether the server has said nothing to anyone here for long.
+    /// Whether the server has sent nothing to this instance for a while
+    /// although requests are in flight, or is no longer listed.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         let now = self.router.clock.now();
@@ -74,8 +75,8 @@
             .is_none_or(|server| server.silent(now))
     }
 
-    /// Waits until a later life of the server is known: no answer will come
-    /// from this one.
+    /// Waits until the server is known to have restarted: the process that
+    /// received the request will not respond.
     pub async fn server_restarted(&self) {
         loop {
             let restart_event = self.router.restart_event.listen();
@@ -92,13 +93,14 @@
         newest.is_some_and(|entry| entry.life.born > self.server.born)
     }
 
-    /// The outcome, where the server could have served the request.
+    /// Adds the outcome of the request to the server's failure rate. Called
+    /// only if the server could have served the request.
     pub fn note_outcome(&self, failed: bool) {
         let now = self.router.clock.now();
         self.change(|server| server.rate(now, failed));
     }
 
-    /// Changes what is known of the server, if it is still listed.
+    /// Updates the entry of the server, if it is still listed.
     pub fn change(&self, change: impl FnOnce(&mut ServerEntry)) {
         if let Some(server) = self.router.servers.borrow_mut().get_mut(&self.server) {
             change(server);
--- a/crates/guavawell-forward/src/lib.rs
+++ b/crates/guavawell-forward/src/lib.rs
@@ -1,15 +1,18 @@
-//! Forwards opaque requests to backend servers within prepaid budgets.
+//! Forwards requests to backend servers within prepaid token budgets, without
+//! interpreting their bodies.
 //!
-//! The rules stand in `guavawell_core::forward` and `guavawell_core::grant`;
-//! this crate carries them out on one thread: callers (`door`, `serve`),
-//! backend servers (`pool`, `attempt`, `relay`), budget rows and loans between
-//! instances (`budget`), requests that crash servers (`poison`, `crash`), the order of tasks (`schedule`), and the process's
-//! life (`leave`, `ready`). It knows no wire names of the
-//! platform it runs on; those are translated by whoever starts it.
+//! The rules are in `guavawell_core::forward` and `guavawell_core::grant`; this
+//! crate runs them on one thread: callers' requests (`callers`, `prepare`,
+//! `routing`, `serve`), backend servers (`retry`, `attempt`, `connect`, `pool`,
+//! `relay`), budget rows and loans between instances (`budget`), requests that
+//! crash servers (`poison`, `crash`), the order of tasks (`schedule`), and the
+//! health and shutdown of the process (`admin`, `shutdown`). It contains no
+//! header names and no wire formats of the platform; the binary translates
+//! those.
 
 #![expect(
     clippy::future_not_send,
-    reason = "one thread serves everything: an instance has one core"
+    reason = "all tasks run on one thread, as an instance has one core"
 )]
 
 pub mod accept;
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -7,10 +7,10 @@
 use crate::http::FieldList;
 use crate::http::HttpChannel;
 
-/// Most idle connections that are kept to one server.
+/// Maximum number of idle connections per server.
 const MAX_IDLE: usize = 48;
-/// Part of the idle time named by a server that is made use of, in percent:
-/// it may close earlier than it says.
+/// Percentage of the server's keep-alive timeout that is used, as the server
+/// may close the connection earlier than it announces.
 const KEEP_ALIVE_PERCENT: u64 = 60;
 
 #[derive(Debug)]
@@ -20,15 +20,17 @@
     until: ClockTime,
 }
 
-/// Idle connections, by life of a server.
+/// Idle connections of each server.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    /// Sorted by life; the newest connection last.
+    /// Sorted by server; the connections of each are ordered from oldest to
+    /// newest.
     servers: Vec<(ServerLife, Vec<IdleChannel>)>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that was idle for `max_idle` at most.
+    /// Removes and returns an open connection that has been idle for `max_idle`
+    /// at most.
     pub fn take(
         &mut self,
         server: &ServerLife,
@@ -49,7 +51,8 @@
         None
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Adds a connection after a complete response. It may stay idle for
+    /// `keep`.
     pub fn put(
         &mut self,
         server: &ServerLife,
@@ -74,15 +77,14 @@
         }
     }
 
-    /// Drops all connections to a server.
+    /// Closes all idle connections to a server.
     pub fn drop_connections(&mut self, server: &ServerLife) {
         if let Ok(index) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
             self.servers.remove(index);
         }
     }
 
-    /// Drops connections whose time is over, so that neither end holds them
-    /// for nothing.
+    /// Closes expired connections, to free resources on both sides.
     pub fn sweep(&mut self, now: ClockTime) {
         for (_, idle) in &mut self.servers {
             idle.retain(|entry| now < entry.until);
@@ -91,7 +93,7 @@
     }
 }
 
-/// How long a connection may stay idle by its server's word.
+/// How long a connection may stay idle, from the server's `Keep-Alive` header.
 #[must_use]
 pub fn keep_alive_span(fields: &FieldList, default: ClockSpan) -> ClockSpan {
     let timeout = fields.get("keep-alive").and_then(|value| {
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -1,4 +1,4 @@
-//! What a request is and whether it may run, before anything is sent.
+//! Checks whether a request may run, before anything is sent to a server.
 
 use std::rc::Rc;
 
@@ -30,25 +30,25 @@
 use crate::routing::note_config;
 use crate::serve::ForwardCall;
 
-/// How long a request waits for a process that has just started to read its
-/// configuration and servers: that takes 25 ms where the platform answers, and
-/// callers that lost their connections to the process before are there at once.
-/// After a stop of all instances 43 to 50 requests came within these 25 ms.
+/// Longest wait for the configuration and the servers after the start of the
+/// process. Reading them takes 25 ms while the platform responds. Callers that
+/// lost their connections to the previous process reconnect at once: after a
+/// stop of all instances 43 to 50 requests arrived within these 25 ms.
 const MAX_START_WAIT: ClockSpan = ClockSpan::from_millis(300);
-/// How long a request waits for an answer of the store that is overdue: a process
-/// that did not run, or lost a connection meanwhile, has it sooner.
+/// Longest wait for an overdue answer of the store. A process that was paused
+/// or lost its connection receives the answer sooner.
 const MAX_OVERDUE_WAIT: ClockSpan = ClockSpan::from_millis(250);
-/// Most of a request's time that may go into one of its waits before it is sent,
-/// as one part in so many.
+/// Each wait before a request is sent takes at most the request's remaining
+/// time divided by this number.
 const WAIT_DIVISOR: u64 = 4;
-/// Retry-After where bodies fill the memory set aside for them.
+/// Retry-After if request bodies fill the memory limit.
 const RETRY_NO_MEMORY: ClockSpan = ClockSpan::from_millis(500);
 
-/// Decides whether a request may run, and sets its tokens aside.
+/// Decides whether a request may run, and reserves its tokens.
 ///
 /// # Errors
 ///
-/// The answer to a request that may not.
+/// The refusal to send to the caller.
 pub async fn prepare<'a>(
     router: &Rc<ForwardRouter>,
     request: &'a ReceivedRequest,
@@ -77,7 +77,7 @@
         return Err(RefusalResponse::new(ForwardRefusal::CrashesServers).after(span));
     }
     if !router.can_finish(deadline) {
-        // Another instance can take it at once.
+        // Without a delay: another instance can accept the request at once.
         return Err(RefusalResponse::new(ForwardRefusal::Leaving).after(ClockSpan::default()));
     }
     check_admission(router, deadline)?;
@@ -109,7 +109,7 @@
     })
 }
 
-/// Waits a moment for what a process reads first.
+/// Waits until the process has read its initial state, for a limited time.
 async fn wait_for_start(
     router: &ForwardRouter,
     request: &ReceivedRequest,
@@ -125,7 +125,8 @@
     Ok(())
 }
 
-/// Waits a moment for news of the configuration and of servers that are overdue.
+/// Waits for overdue updates of the configuration and the list of servers, for
+/// a limited time.
 async fn wait_for_overdue_state(
     router: &ForwardRouter,
     request: &ReceivedRequest,
@@ -140,7 +141,8 @@
     Ok(())
 }
 
-/// A wait of `max_wait`, or less where the request has little time.
+/// The time that the request may wait: `max_wait`, or a share of the caller's
+/// time limit if that is less.
 fn patience(
     router: &ForwardRouter,
     request: &ReceivedRequest,
@@ -178,7 +180,7 @@
     Ok((usage, shape))
 }
 
-/// The earlier of the caller's and the operator's limit.
+/// The caller's or the route's time limit, whichever ends first.
 fn request_deadline(
     router: &ForwardRouter,
     route: &RouteEntry,
@@ -189,7 +191,7 @@
     Ok(caller_limit.map_or(limit, |span| limit.min(request.received_at + span)))
 }
 
-/// How long the caller waits, if it says so.
+/// The time for which the caller waits, if the request states it.
 fn caller_time_left(
     router: &ForwardRouter,
     request: &ReceivedRequest,
@@ -208,7 +210,7 @@
 fn check_admission(router: &ForwardRouter, deadline: ClockTime) -> Result<(), RefusalResponse> {
     let admission = &router.settings.admission;
     let left = router.clock.left(deadline);
-    // This request counts among those held.
+    // The count includes this request.
     let held = router.held_requests.get().saturating_sub(1);
     admit(admission, held, router.held_bytes.get(), left)
         .map_err(|refusal| RefusalResponse::new(refusal).after(RETRY_NO_MEMORY))
@@ -236,7 +238,8 @@
     reserved.map(Some).map_err(|refusal| {
         note_budget_refusal(record, worst, &refusal);
         if refusal.facts.paid < paid.get() {
-            // More was paid than the store told this process yet.
+            // The configuration, which may come from another instance, states a
+            // higher paid amount than the store has told this process so far.
             let after = refusal.answer.retry_after.unwrap_or_default();
             return RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(after);
         }
@@ -244,7 +247,7 @@
     })
 }
 
-/// Notes what a reservation was turned down by.
+/// Records why a reservation failed.
 fn note_budget_refusal(record: &RequestRecord, worst: TokenCount, refusal: &BudgetRefusal) {
     let facts = &refusal.facts;
     record.note("budget", refusal.cause.as_str());
--- a/crates/guavawell-forward/src/record.rs
+++ b/crates/guavawell-forward/src/record.rs
@@ -1,4 +1,4 @@
-//! One line for each decision that touches a request, and its metrics.
+//! Writes one event with the decisions about each request, and its metrics.
 
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -12,8 +12,8 @@
 
 use crate::router::ForwardRouter;
 
-/// What is known of a request while it is served. Dropping it writes the line,
-/// so a request that its caller abandoned has one too.
+/// What is known of a request while it is served. The event is written on drop,
+/// so it also exists for a request whose caller disconnected.
 #[derive(Debug)]
 pub struct RequestRecord {
     router: Rc<ForwardRouter>,
@@ -31,7 +31,7 @@
 }
 
 impl RequestRecord {
-    /// A request that was received at `began`.
+    /// Starts the record of a request that was received at `began`.
     #[must_use]
     pub fn new(router: &Rc<ForwardRouter>, request: &str, began: ClockTime) -> Self {
         Self {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Names the organisation.
+    /// Sets the organisation that sent the request.
     pub fn organisation(&self, organisation: &OrganisationId) {
         self.state.borrow_mut().organisation = Some(organisation.clone());
     }
 
-    /// Adds an input of a decision, or replaces it.
+    /// Sets a field of the event.
     pub fn note(&self, name: &'static str, value: impl Display) {
         let value = value.to_string().into();
         let fields = &mut self.state.borrow_mut().fields;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The first part of a stream was sent to the caller.
+    /// Records when the first part of a stream was sent to the caller.
     pub fn first_sent(&self, at: ClockTime) {
         let span = at.since(self.began);
         metrics::histogram!("guavawell_forward_first_part_seconds")
@@ -70,17 +70,17 @@
         self.note("first_ms", span.as_millis());
     }
 
-    /// The caller got a server's answer.
+    /// Sets the outcome: the caller received a server's response.
     pub fn answered(&self, status: u16) {
         self.end("answered", status);
     }
 
-    /// The caller got an answer of this router's own.
+    /// Sets the outcome: the router refused the request.
     pub fn refused(&self, refusal: ForwardRefusal, status: u16) {
         self.end(refusal.as_str(), status);
     }
 
-    /// A stream ended before it was complete.
+    /// Sets the outcome: a response ended before it was complete.
     pub fn truncated(&self) {
         self.end("stream_cut", 200);
     }
--- a/crates/guavawell-forward/src/refusal.rs
+++ b/crates/guavawell-forward/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the router's own.
+//! Responses with which the router refuses requests.
 
 use std::io;
 
@@ -9,19 +9,20 @@
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 
-/// An answer of the router's own.
+/// A response with which the router refuses a request.
 #[derive(Clone, Debug)]
 pub struct RefusalResponse {
-    /// The reason.
+    /// Why the request is refused.
     pub refusal: ForwardRefusal,
-    /// The request may have run, so the status must not deny it.
+    /// Whether a server may have run the request. The status must then not
+    /// state that it did not run.
     pub may_have_run: bool,
-    /// When coming back makes sense, if that is known.
+    /// When a retry makes sense, if known.
     pub retry_after: Option<ClockSpan>,
 }
 
 impl RefusalResponse {
-    /// A refusal of a request that surely has not run.
+    /// Creates the refusal of a request that was not run.
     #[must_use]
     pub const fn new(refusal: ForwardRefusal) -> Self {
         Self {
@@ -31,20 +32,21 @@
         }
     }
 
-    /// Names the time after which to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub const fn after(mut self, span: ClockSpan) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// The status of the answer.
+    /// The HTTP status.
     #[must_use]
     pub const fn status(&self) -> u16 {
         self.refusal.status(self.may_have_run)
     }
 
-    /// Sends the answer.
+    /// Sends the response. `request_field` is the header field that echoes the
+    /// request's id.
     ///
     /// # Errors
     ///
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -1,4 +1,4 @@
-//! A server's answer on its way to the caller.
+//! Relays a server's response to the caller.
 
 use std::rc::Rc;
 
@@ -23,26 +23,27 @@
 use crate::serve::ForwardCall;
 use crate::sse::scan_events;
 
-/// Largest plain answer that is held back until it is whole, in bytes; up to
-/// here a spoiled answer can be replaced by another server's.
+/// Largest response, other than a stream, that is buffered completely before it
+/// is sent, in bytes. While it is buffered, another server can still replace it
+/// if it fails.
 const MAX_BUFFERED_BODY: usize = 256 * 1024;
 /// Largest event of a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// A stream as far as the caller has it.
+/// How much of a stream the caller has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamProgress {
-    /// The head was sent.
+    /// Whether the response head was sent.
     pub begun: bool,
-    /// When the first part of the stream was sent.
+    /// When the first part was sent.
     pub first_at: Option<ClockTime>,
     /// Id of the last event that was sent.
     pub last_event: Option<u64>,
-    /// Events that were sent.
+    /// Number of events that were sent.
     pub events: u64,
 }
 
-/// Relays an answer that is not a stream of events.
+/// Relays a response that is not an event stream.
 pub async fn relay_plain(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -82,8 +83,9 @@
     }
 }
 
-/// Whether a status is a failure of the server. Statuses that would promise
-/// that the request has not run are not passed on without the server's proof.
+/// How a response with this status ends the attempt, if it is a failure.
+/// Statuses from which a caller may conclude that the request did not run are
+/// not relayed, as the server did not confirm that.
 fn failure_end(status: u16) -> Option<AttemptEnd> {
     match status {
         408 | 421 | 429 | 503 => Some(AttemptEnd::Lost),
@@ -100,7 +102,7 @@
     }
 }
 
-/// Relays a large answer as it comes.
+/// Relays a response that is too large for the buffer, part by part.
 async fn relay_unbuffered(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -137,7 +139,7 @@
     }
 }
 
-/// Relays a stream of events, each as soon as it is whole.
+/// Relays an event stream, each event as soon as it is complete.
 pub async fn relay_stream(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -165,7 +167,7 @@
         }
         let rest = buffered.len() - scan.complete_bytes;
         if !more && rest > 0 && response.decoder.ends_with_connection() {
-            // The connection ended within an event.
+            // The connection was closed in the middle of an event.
             response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
@@ -201,8 +203,9 @@
     }
 }
 
-/// Waits for more of a stream. One that another server can continue is given
-/// up when its server is silent; all others wait until the request's end.
+/// Waits for the next part of a stream. If another server can continue the
+/// stream, a silent server times out; otherwise the wait lasts until the
+/// request's deadline.
 async fn next_part(
     router: &Rc<ForwardRouter>,
     call: &ForwardCall<'_>,
@@ -228,7 +231,8 @@
     }
 }
 
-/// Whether the first event of a part comes right after the last one sent.
+/// Whether the first event of a part directly follows the last one that was
+/// sent.
 fn is_next_event(stream: &StreamProgress, first: Option<u64>) -> bool {
     match (stream.last_event, first) {
         (Some(last), Some(first)) => first == last + 1,
@@ -236,7 +240,8 @@
     }
 }
 
-/// Charges the prompt and what the events hold at most.
+/// Charges the prompt and the most output tokens that the sent events can
+/// contain.
 fn charge(call: &ForwardCall<'_>, events: u64) {
     let Some(reservation) = &call.reservation else {
         return;
@@ -249,7 +254,7 @@
     reservation.spend(spent);
 }
 
-/// Frames an answer for the caller.
+/// Formats a response for the caller.
 struct StreamWriter {
     out: Vec<u8>,
     chunked: bool,
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as a backend server gets it.
+//! Builds the request that is sent to a backend server.
 
 use guavawell_core::forward::ServerLife;
 
@@ -9,10 +9,10 @@
 use crate::router::ForwardRouter;
 use crate::serve::ForwardCall;
 
-/// Rank of the least urgent requests.
+/// The lowest priority. Smaller numbers are more urgent.
 const LAST_PRIORITY: u8 = 9;
 
-/// The request as the server gets it: method, target and body unchanged.
+/// Serializes the request for a server. Method, target and body are unchanged.
 #[must_use]
 pub fn request_bytes(
     router: &ForwardRouter,
@@ -54,7 +54,7 @@
     bytes
 }
 
-/// The organisation's rank goes before the route's.
+/// The organisation's priority, or the route's if the organisation has none.
 fn priority(call: &ForwardCall<'_>) -> u8 {
     let own = call
         .organisation
@@ -63,7 +63,7 @@
     own.unwrap_or(call.route.priority).min(LAST_PRIORITY)
 }
 
-/// Fields that this router sets or drops, whatever the caller sent.
+/// Whether the router sets or removes this field, whatever the caller sent.
 fn is_own_field(router: &ForwardRouter, name: &str) -> bool {
     let names = &router.settings.names;
     let own = [
--- a/crates/guavawell-forward/src/response.rs
+++ b/crates/guavawell-forward/src/response.rs
@@ -1,4 +1,5 @@
-//! A server's answer, and how it goes to the caller or back to the pool.
+//! A server's response, its serialization for the caller, and the return of its
+//! connection to the pool.
 
 use futures_lite::FutureExt;
 
@@ -13,17 +14,17 @@
 use crate::pool::keep_alive_span;
 use crate::router::ForwardRouter;
 
-/// A whole answer of a server.
+/// A response that was received completely.
 #[derive(Debug)]
 pub struct BufferedResponse {
-    /// Its head.
+    /// The response head.
     pub head: ResponseHead,
-    /// Its body.
+    /// The decoded body.
     pub body: Vec<u8>,
 }
 
 impl BufferedResponse {
-    /// The answer as it goes to the caller.
+    /// Serializes the response for the caller.
     #[must_use]
     pub fn bytes(&self, is_head_request: bool, keep: bool) -> Vec<u8> {
         let mut head = HeadWriter::response(self.head.status, &self.head.reason);
@@ -44,7 +45,8 @@
     }
 }
 
-/// Copies a server's fields but for those of one connection.
+/// Copies the server's header fields, except `Content-Length` and hop-by-hop
+/// fields.
 pub fn copy_fields(fields: &FieldList, head: &mut HeadWriter) {
     for (name, value) in fields.iter() {
         let framing = name.eq_ignore_ascii_case("content-length");
@@ -54,29 +56,30 @@
     }
 }
 
-/// A server's answer whose body is still to come.
+/// A response whose body is still being received.
 #[derive(Debug)]
 pub struct IncomingResponse {
     /// The connection to the server.
     pub channel: HttpChannel,
-    /// The answer's head.
+    /// The response head.
     pub head: ResponseHead,
     /// Decodes the body.
     pub decoder: BodyDecoder,
-    /// Whether the whole request was sent and nothing else came on the
-    /// connection, so that it may be used again.
+    /// Whether the whole request was sent and no response to another request
+    /// was received. Only then may the connection be reused.
     pub clean: bool,
     /// Counts the request at the server.
     pub guard: InFlightGuard,
 }
 
 impl IncomingResponse {
-    /// Receives the next part of the body; false at its end.
+    /// Receives the next part of the body. Returns false at the end of the
+    /// body.
     ///
     /// # Errors
     ///
-    /// The connection failed, or the server started again: what is left of the
-    /// answer is lost then.
+    /// The connection failed, or the server has restarted and the rest of the
+    /// response is lost.
     pub async fn part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
         let part = self.channel.body_part(&mut self.decoder, body);
         let restarted = async {
@@ -86,7 +89,8 @@
         part.or(restarted).await
     }
 
-    /// Gives the connection back after a whole answer.
+    /// Returns the connection to the pool after a complete response, if it can
+    /// be reused.
     pub fn finish(self, router: &ForwardRouter) {
         self.guard.note_outcome(false);
         let done = self.decoder.is_done();
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request.
+//! Sends a request to one server after another until one responds.
 
 use std::rc::Rc;
 
@@ -32,42 +32,44 @@
 use crate::serve::ForwardCall;
 use crate::serve::send_refusal;
 
-/// Servers that may refuse a connection before a request is turned away.
+/// Number of attempts that may end without the request being sent, for example
+/// because a connection was refused.
 const MAX_UNSENT: usize = 4;
-/// Time that may go into connections that were not to be had: as long as so many
-/// dead servers take.
+/// Longest time spent on such attempts: about the time that [`MAX_UNSENT`]
+/// unreachable servers take.
 const MAX_UNSENT_TIME: ClockSpan = ClockSpan::from_millis(1_000);
-/// Least time for another attempt.
+/// Least remaining time for another attempt.
 const MIN_ATTEMPT_TIME: ClockSpan = ClockSpan::from_millis(15);
-/// Retry-After where no server is to be had: about the time in which a server
-/// that restarts is listed again.
+/// Retry-After if no server is available: about the time until a restarted
+/// server is listed again.
 const RETRY_NO_SERVER: ClockSpan = ClockSpan::from_millis(1_000);
-/// Retry-After where all servers are full: a few of their answers.
+/// Retry-After if all servers are full: the time of a few responses.
 const RETRY_FULL: ClockSpan = ClockSpan::from_millis(600);
-/// Spread of Retry-After, so that callers do not return at one moment.
+/// Random addition to Retry-After, so that callers do not all retry at the same
+/// time.
 const RETRY_SPREAD_MS: u64 = 400;
 
-/// What became of a request so far.
+/// The state of a request across its attempts.
 #[derive(Debug, Default)]
 pub struct RequestProgress {
-    /// Servers that were chosen.
+    /// Servers that were picked so far.
     pub tried: Vec<ServerLife>,
-    /// Attempts that reached a server.
+    /// Attempts whose request was sent to a server.
     pub sent: u32,
-    /// Attempts that never left this instance.
+    /// Attempts whose request was not sent.
     pub unsent: usize,
-    /// Time that went into them.
+    /// Time spent on connections that could not be opened.
     pub unsent_time: ClockSpan,
-    /// What it pays if it ends without its whole answer.
+    /// Determines the charge if the request ends without a complete response.
     pub outcome: RequestOutcome,
-    /// How far the request was suspected when it was last sent.
+    /// The suspicion of the request when it was last sent.
     pub suspicion: SuspicionMark,
-    /// The stream as far as the caller has it.
+    /// How much of the stream the caller has received.
     pub stream: StreamProgress,
 }
 
-/// Sends a request until the caller has an answer; returns whether the
-/// caller's connection may be used again.
+/// Sends a request until the caller has a response. Returns whether the
+/// caller's connection may be reused.
 pub async fn run_attempts(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -120,8 +122,9 @@
     }
 }
 
-/// Ends a request whose last attempt brought no answer. A failure that a
-/// server told in an earlier one says more than a refusal of the router's own.
+/// Ends a request whose last attempt brought no complete response. A server
+/// error from an earlier attempt is relayed in preference to a refusal, as it
+/// tells the caller more.
 async fn end_without_response(
     router: &ForwardRouter,
     caller: &HttpChannel,
@@ -140,7 +143,8 @@
     }
 }
 
-/// Charges a request that ends without its whole answer.
+/// Releases the reservation of a request that ends without a complete response,
+/// unless it is charged.
 fn settle(call: &ForwardCall<'_>, record: &RequestRecord, progress: &RequestProgress) {
     let Some(reservation) = &call.reservation else {
         return;
@@ -156,7 +160,7 @@
     }
 }
 
-/// Notes how much of a stream the caller has, and how soon it began.
+/// Records how many events of a stream were sent and when the first was sent.
 fn note_stream(record: &RequestRecord, stream: &StreamProgress) {
     record.note("events", stream.events);
     if let Some(at) = stream.first_at {
@@ -195,7 +199,7 @@
     })
 }
 
-/// Whether attempts, time and the allowance leave room for one more.
+/// Whether the limits on attempts, time and retries allow another attempt.
 fn may_repeat(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
@@ -217,8 +221,8 @@
         && router.take_repeat(&call.service)
 }
 
-/// Takes note of what an attempt tells of the request: a server that crashed
-/// under it, or a complete answer.
+/// Updates the suspicion of the request: clears it after a complete response,
+/// and checks for a crash if the response was lost.
 async fn note_suspicion(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
@@ -268,7 +272,7 @@
     router.log.emit(draft);
 }
 
-/// Ends a request without a server's answer.
+/// Ends a request without a server's response.
 async fn end_with_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
@@ -278,7 +282,8 @@
     refusal: ForwardRefusal,
 ) -> bool {
     if progress.stream.begun {
-        // The caller sees the missing end of the stream.
+        // The head was already sent; the caller notices that the end of the
+        // stream is missing.
         record.note("cause", refusal);
         note_stream(record, &progress.stream);
         record.truncated();
@@ -303,7 +308,7 @@
     send_refusal(router, caller, call.request, call.id, record, &response).await
 }
 
-/// Hands a server's own failure to the caller.
+/// Relays a server's error response to the caller.
 async fn relay_failure(
     router: &ForwardRouter,
     caller: &HttpChannel,
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -1,4 +1,4 @@
-//! What all requests of this process share, and what changes its beliefs.
+//! State that all requests of the process share, and its updates.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,70 +33,75 @@
 use crate::pool::ConnectionPool;
 use crate::settings::ForwardSettings;
 
-/// Where the process stands in its life.
+/// The phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterPhase {
-    /// It serves as far as it can.
+    /// The process accepts requests.
     Serving,
-    /// It was told to leave at this time.
+    /// The process was told to leave at this time. It still accepts requests as
+    /// far as [`ForwardRouter::can_finish`] allows.
     Leaving(ClockTime),
-    /// Everything that was held has ended; it takes no request any more.
+    /// The process was told to leave at this time. The wait for running
+    /// requests is over, and no new ones are accepted.
     Closing(ClockTime),
 }
 
-/// One forwarding router.
+/// A router that forwards requests, with all state of the process.
 #[derive(Debug)]
 pub struct ForwardRouter {
-    /// Its settings.
+    /// The settings.
     pub settings: ForwardSettings,
-    /// Its clock.
+    /// The clock.
     pub clock: SteadyClock,
-    /// Its log.
+    /// The event log.
     pub log: EventLog,
-    /// The configuration in force here.
+    /// The configuration in force.
     pub configs: Rc<ConfigDesk>,
-    /// Known backend servers.
+    /// The known backend servers.
     pub servers: RefCell<ServerTable>,
-    /// A server started again under its id.
+    /// Notified when a server has restarted under the same id.
     pub restart_event: Event,
-    /// The configuration or the list of servers was read.
+    /// Notified when the configuration, the list of servers or the suspected
+    /// requests were read.
     state_loaded: Event,
     /// Whether the list of servers was read.
     pub servers_read: Cell<bool>,
-    /// How old the list of servers may be.
+    /// The age of the list of servers.
     server_age: Cell<FeedAge>,
-    /// A question for the list was answered.
+    /// Notified when a query for the list of servers was answered.
     servers_answered: Event,
-    /// Whether budgets were open once; new ones do not close the door again.
+    /// Whether all budgets have been read once. Budgets that are added later do
+    /// not make the process unready.
     budgets_opened: Cell<bool>,
-    /// Allowance for repeats.
+    /// The budget for retries.
     pub repeats: RefCell<RepeatAllowance>,
-    /// What tries to connect to servers tell of the way.
+    /// Recent connection times, from which the connect timeout is derived.
     pub connect_pace: Cell<ConnectPace>,
-    /// What connections to servers tell of the own link.
+    /// Detects from connection times whether this instance's network link is
+    /// full.
     link_congestion: Cell<LinkCongestion>,
     /// Idle connections to servers.
     pub pool: RefCell<ConnectionPool>,
     /// The other instances.
     pub peers: Rc<PeerDesk>,
-    /// Budgets.
+    /// The budgets of the organisations.
     pub budgets: Rc<BudgetDesk>,
-    /// Requests that crash servers.
+    /// Requests that are suspected of crashing servers.
     pub poison: Rc<PoisonDesk>,
-    /// Looks at whether servers that broke off have crashed.
+    /// Checks whether servers that broke off responses have crashed.
     pub crashes: CrashChecks,
-    /// Requests held now.
+    /// Number of requests being served.
     pub held_requests: Cell<usize>,
-    /// Bytes of request bodies held now.
+    /// Bytes of their bodies.
     pub held_bytes: Cell<usize>,
-    /// Where the process stands.
+    /// The phase of the process.
     pub phase: Cell<RouterPhase>,
     /// When the platform last failed to answer.
     pub platform_failed_at: Cell<Option<ClockTime>>,
 }
 
 impl ForwardRouter {
-    /// A router that knows nothing yet.
+    /// Creates a router that has read neither a configuration nor servers.
     #[must_use]
     pub fn new(
         settings: ForwardSettings,
@@ -133,7 +138,8 @@
         }
     }
 
-    /// The store answered a question about the configuration sent at `asked`.
+    /// Handles the store's answer to a query for the configuration that was
+    /// sent at `asked`.
     pub fn config_received(&self, told: ConfigTold<'_>, asked: ClockTime) {
         let Some(config) = self.configs.store_told(told, asked) else {
             return;
@@ -142,12 +148,14 @@
         self.config_changed();
     }
 
-    /// Another configuration may be in force.
+    /// Wakes tasks that wait for a configuration.
     pub fn config_changed(&self) {
         self.state_loaded.notify(usize::MAX);
     }
 
-    /// What organisations paid. Only the store's own word raises it.
+    /// Updates the amounts that organisations have paid. Only a configuration
+    /// read from the store raises them, never one received from another
+    /// instance.
     fn apply_paid_amounts(&self, config: &ForwardConfig) {
         for entry in &config.organisations {
             if let Some(paid) = entry.paid {
@@ -156,7 +164,7 @@
         }
     }
 
-    /// The platform lists a server.
+    /// Adds or updates a server that the platform lists.
     pub fn update_server(&self, entry: ServerEntry) {
         let life = entry.life.clone();
         let phase = entry.phase;
@@ -173,7 +181,8 @@
         }
     }
 
-    /// A server started again: nothing of its former life is used any more.
+    /// Drops the connections to a server's previous process and wakes the
+    /// requests that wait for its responses.
     fn drop_former_life(&self, former: &ServerLife, life: &ServerLife) {
         self.pool.borrow_mut().drop_connections(former);
         self.restart_event.notify(usize::MAX);
@@ -183,8 +192,8 @@
         self.log.emit(draft);
     }
 
-    /// Whether a server still takes requests: it may have begun to leave, or
-    /// asked for a pause, while a connection to it was being opened.
+    /// Whether a server still accepts requests. It may have started to leave,
+    /// or asked for a pause, while a connection to it was being opened.
     #[must_use]
     pub fn takes_requests(&self, life: &ServerLife) -> bool {
         let now = self.clock.now();
@@ -193,7 +202,7 @@
         entry.is_some_and(|held| held.takes_requests(now) && !held.is_paused(now))
     }
 
-    /// The platform no longer lists a server.
+    /// Removes a server that the platform no longer lists.
     pub fn remove_unlisted_server(&self, id: &BackendId) {
         let now = self.clock.now();
         let lapse = &self.settings.times.lapse;
@@ -201,8 +210,8 @@
         self.remove_server("server.unlisted", id, phase);
     }
 
-    /// The platform's entry of a server cannot be read. Whoever wrote it, it
-    /// names no server to use.
+    /// Stops using a server whose entry on the platform cannot be read, whoever
+    /// wrote it.
     pub fn mark_server_unreadable(&self, id: &BackendId) {
         self.remove_server("server.distrusted", id, ServerPhase::Unreadable);
     }
@@ -217,8 +226,8 @@
         self.log_server(kind, &life, phase);
     }
 
-    /// The platform's whole list was read: servers that are not in it are
-    /// unlisted, and those of `unreadable` entries are not used.
+    /// Replaces the list of servers: those missing from it are removed, and
+    /// those with `unreadable` entries are no longer used.
     pub fn replace_server_list(&self, entries: Vec<ServerEntry>, unreadable: &[BackendId]) {
         let readable = entries.iter().map(|entry| &entry.life.id);
         let mut listed: Vec<BackendId> = readable.chain(unreadable).cloned().collect();
@@ -240,7 +249,8 @@
         self.state_loaded.notify(usize::MAX);
     }
 
-    /// A question for the list of servers that was sent at `asked` was answered.
+    /// Records that a query for the list of servers, sent at `asked`, was
+    /// answered.
     pub fn servers_checked(&self, asked: ClockTime) {
         let mut age = self.server_age.get();
         age.check(asked);
@@ -248,7 +258,8 @@
         self.servers_answered.notify(usize::MAX);
     }
 
-    /// A question for the list of servers that was sent at `asked` has no answer.
+    /// Records that a query for the list of servers, sent at `asked`, was not
+    /// answered in time.
     pub fn servers_unanswered(&self, asked: ClockTime) {
         let mut age = self.server_age.get();
         let late_after = self.settings.times.servers.late_after();
@@ -256,20 +267,20 @@
         self.server_age.set(age);
     }
 
-    /// The age beyond which an answer about the servers is overdue.
+    /// The age from which the list of servers is overdue.
     fn servers_overdue_after(&self) -> ClockSpan {
         let pace = self.settings.times.servers;
         pace.overdue_after(self.budgets.instances())
     }
 
-    /// Whether an answer about the servers is overdue.
+    /// Whether the list of servers is overdue.
     #[must_use]
     pub fn servers_overdue(&self) -> bool {
         let age = self.server_age.get().at(self.clock.boot_now());
         age.is_some_and(|age| age > self.servers_overdue_after())
     }
 
-    /// Whether a request waits for an answer about the servers.
+    /// Whether requests should wait for the overdue list of servers.
     #[must_use]
     pub fn servers_awaited(&self) -> bool {
         let now = self.clock.boot_now();
@@ -277,8 +288,7 @@
         self.server_age.get().is_awaited(overdue_after, now)
     }
 
-    /// Waits for an answer about the servers that is overdue, for `patience` at
-    /// most.
+    /// Waits for the overdue list of servers, for `patience` at most.
     pub async fn await_servers(&self, patience: ClockSpan) {
         let awaited = || self.servers_awaited();
         if !wait_while(&self.clock, &self.servers_answered, patience, awaited).await {
@@ -301,12 +311,12 @@
         self.log.emit(draft);
     }
 
-    /// The platform failed to answer.
+    /// Records that the platform failed to answer.
     pub fn platform_failed(&self) {
         self.platform_failed_at.set(Some(self.clock.now()));
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the process should receive new connections.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let serving = self.phase.get() == RouterPhase::Serving;
@@ -318,8 +328,8 @@
         serving && has_state && self.budgets_opened.get() && open
     }
 
-    /// A connection to a server stood after a time, or was turned down; `None`
-    /// if it did not in time.
+    /// Records how long a connection to a server took to be accepted or
+    /// refused; `None` if it timed out.
     pub fn note_connect_time(&self, took: Option<ClockSpan>) {
         let now = self.clock.now();
         let mut link = self.link_congestion.get();
@@ -337,14 +347,14 @@
         }
     }
 
-    /// Whether a configuration, the list of servers and what the fleet believes
-    /// of requests that crash them are known.
+    /// Whether a configuration, the list of servers and the suspected requests
+    /// were read.
     #[must_use]
     pub fn has_initial_state(&self) -> bool {
         self.configs.current().is_some() && self.servers_read.get() && self.poison.is_read()
     }
 
-    /// Waits until a configuration and the list of servers are known.
+    /// Waits until [`has_initial_state`](Self::has_initial_state) is true.
     pub async fn wait_for_initial_state(&self) {
         loop {
             let loaded = self.state_loaded.listen();
@@ -355,7 +365,7 @@
         }
     }
 
-    /// What the fleet believes of requests that crash servers was read.
+    /// Records that the suspected requests were read.
     pub fn suspects_loaded(&self) {
         self.poison.rows_read();
         self.state_loaded.notify(usize::MAX);
@@ -367,7 +377,8 @@
         self.phase.get() != RouterPhase::Serving
     }
 
-    /// When requests that still run are cut, if the process is leaving.
+    /// Until when a leaving process waits for running requests: the end of the
+    /// grace period, less the time for returning grants.
     #[must_use]
     pub fn abort_at(&self) -> Option<ClockTime> {
         let (RouterPhase::Leaving(began) | RouterPhase::Closing(began)) = self.phase.get() else {
@@ -381,7 +392,9 @@
         Some(began + ClockSpan::from_millis(rest))
     }
 
-    /// Whether a request that lasts until `deadline` at most may be taken.
+    /// Whether a request may be accepted that ends at `deadline` at the latest.
+    /// A leaving process accepts all requests for the announcement time, and
+    /// after that only those that end before [`abort_at`](Self::abort_at).
     #[must_use]
     pub fn can_finish(&self, deadline: ClockTime) -> bool {
         let began = match self.phase.get() {
@@ -393,7 +406,7 @@
         announced || self.abort_at().is_none_or(|cut| deadline <= cut)
     }
 
-    /// Counts the first sending of a request.
+    /// Counts a request in the retry budget, once for all its attempts.
     pub fn count_request(&self, service: &ServiceId) {
         let window = self.settings.repeats.window;
         let now = self.clock.now();
@@ -402,7 +415,7 @@
             .count_request(service, now, window);
     }
 
-    /// Asks for one repeat.
+    /// Takes one retry from the budget. Returns false if the budget is used up.
     #[must_use]
     pub fn take_repeat(&self, service: &ServiceId) -> bool {
         let settings = RepeatSettings {
--- a/crates/guavawell-forward/src/routing.rs
+++ b/crates/guavawell-forward/src/routing.rs
@@ -1,9 +1,9 @@
-//! What a configuration says of a request: its route and whose it is.
+//! Looks up the route and the organisation of a request in the configuration.
 //!
-//! Load pattern: a request waits for tokens, for a connection or for a server
-//! that does not answer, and meanwhile its route moves to another service or its
-//! key is taken away. So it is asked when the request comes, and again each time
-//! that it is sent on.
+//! A request may wait for tokens, for a connection or for a server, and
+//! meanwhile its route may move to another service or its key may be revoked.
+//! The configuration is therefore checked when the request arrives and again
+//! before each attempt.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,18 +21,18 @@
 use crate::router::ForwardRouter;
 use crate::serve::ForwardCall;
 
-/// Retry-After of a process that has no configuration yet: its first read of
-/// the platform takes tens of milliseconds where the platform answers.
+/// Retry-After of a process without a configuration. Its first read of the
+/// platform takes tens of milliseconds if the platform responds.
 pub const RETRY_NO_CONFIG: ClockSpan = ClockSpan::from_millis(500);
 
-/// An organisation and the rank of its requests.
+/// An organisation and the priority of its requests.
 pub type RankedOrganisation = (OrganisationId, Option<u8>);
 
-/// The route of a request.
+/// Finds the route of a request.
 ///
 /// # Errors
 ///
-/// The answer to a request without one.
+/// The refusal of a request without a route.
 pub fn find_route(
     router: &ForwardRouter,
     config: &ForwardConfig,
@@ -45,11 +45,12 @@
         .ok_or_else(|| unknown_refusal(router, ForwardRefusal::NoRoute))
 }
 
-/// The organisation whose key a request carries; `None` where none is asked for.
+/// Finds the organisation whose key a request carries; `None` if no key is
+/// required.
 ///
 /// # Errors
 ///
-/// The answer to a request without a known key.
+/// The refusal of a request without a known key.
 pub fn identify(
     router: &ForwardRouter,
     config: &ForwardConfig,
@@ -73,7 +74,8 @@
     Ok(Some((entry.id.clone(), entry.priority)))
 }
 
-/// Notes by which configuration a request is judged, and how old that may be.
+/// Records the version and the age of the configuration that applies to a
+/// request.
 pub fn note_config(router: &ForwardRouter, config: &ForwardConfig, record: &RequestRecord) {
     record.note("config", config.version);
     if let Some(age) = router.configs.age() {
@@ -81,7 +83,9 @@
     }
 }
 
-/// What a configuration does not know, unless a newer one may know it.
+/// The refusal if the configuration does not contain the route or the key. If
+/// the configuration is overdue, a newer one may contain it, and the caller is
+/// told to retry.
 fn unknown_refusal(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalResponse {
     if router.configs.is_overdue() {
         RefusalResponse::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
@@ -90,12 +94,12 @@
     }
 }
 
-/// Judges a request by the configuration in force now, if another one is than
-/// when it was judged before.
+/// Checks a request against the current configuration, if that has changed
+/// since the last check.
 ///
 /// # Errors
 ///
-/// Why it is not sent on.
+/// Why the request must not be sent again.
 pub fn recheck_config(
     router: &ForwardRouter,
     call: &mut ForwardCall<'_>,
@@ -124,7 +128,8 @@
     Ok(())
 }
 
-/// Whether the configuration in force now allows what was chosen for a request.
+/// Whether the current configuration allows the service that was selected for
+/// the request.
 #[must_use]
 pub fn is_allowed(router: &ForwardRouter, call: &ForwardCall<'_>) -> bool {
     let Some(config) = changed_config(router, call) else {
@@ -139,7 +144,8 @@
     (!Rc::ptr_eq(&config, &call.config)).then_some(config)
 }
 
-/// The route that a configuration gives a request of the same organisation.
+/// The route of the request in another configuration, if the request's
+/// organisation is still the same.
 fn route_in_config(
     router: &ForwardRouter,
     config: &ForwardConfig,
@@ -152,7 +158,8 @@
     if id(&organisation) == id(&call.organisation) {
         Ok(route)
     } else {
-        // Its tokens were set aside for another one: it may come again.
+        // The tokens were reserved for another organisation, so the caller has
+        // to send the request again.
         Err(ForwardRefusal::NoConfig)
     }
 }
--- a/crates/guavawell-forward/src/schedule.rs
+++ b/crates/guavawell-forward/src/schedule.rs
@@ -1,10 +1,10 @@
-//! The order in which the one thread runs its tasks.
+//! Schedules the tasks of the process on its single thread.
 //!
-//! Load pattern: an instance with a tenth of a core gets more requests than it
-//! can serve, and hundreds of tasks are ready at a time. A call to the platform
-//! takes half a dozen steps; were each of them to wait behind all requests, an
-//! instance would learn seconds late that a server leaves, and calls would run
-//! into their time limits while the platform is well.
+//! An instance with a tenth of a core can receive more requests than it can
+//! serve, so that hundreds of tasks are ready. A call to the platform takes
+//! about six steps. If each step waited for all requests, the instance would
+//! learn seconds late that a server leaves, and calls would time out although
+//! the platform responds. Control tasks therefore run first.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -13,21 +13,22 @@
 use futures_lite::future::yield_now;
 use smol::LocalExecutor;
 
-/// Steps of requests between two looks at what arrived on connections. Fewer
-/// cost a system call each; more delay what the first queue waits for.
+/// Request steps between two polls for I/O events. Each poll is a system call;
+/// with more steps, control tasks wait longer for their I/O.
 const STEPS_PER_POLL: usize = 16;
 
-/// Two queues of tasks on one thread.
+/// Two task queues that run on one thread.
 #[derive(Clone, Debug, Default)]
 pub struct TaskQueues {
-    /// Calls to the platform, readiness and signals: few and short, and first.
+    /// Calls to the platform, health checks and signals. They are few and
+    /// short, and run first.
     pub control: Rc<LocalExecutor<'static>>,
     /// Callers' requests.
     pub requests: Rc<LocalExecutor<'static>>,
 }
 
 impl TaskQueues {
-    /// Runs the tasks of both queues until `main` is done.
+    /// Runs the tasks of both queues until `main` has finished.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         main.or(self.run_forever()).await
     }
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Runs a few requests' steps, each after all that is ready of the first
-    /// queue; whether more is ready.
+    /// Runs up to [`STEPS_PER_POLL`] request steps, and before each one all
+    /// control tasks that are ready. Returns whether more may be ready.
     fn step(&self) -> bool {
         for _ in 0..STEPS_PER_POLL {
             while self.control.try_tick() {}
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -1,4 +1,4 @@
-//! The way of one request: what it is, whether it may run, who runs it.
+//! Serves one request: prepares it, then sends or refuses it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,36 +24,37 @@
 use crate::retry::run_attempts;
 use crate::router::ForwardRouter;
 
-/// A request that may be sent to a backend server.
+/// A request that was accepted for forwarding.
 #[derive(Debug)]
 pub struct ForwardCall<'a> {
-    /// What the caller sent.
+    /// The request as received.
     pub request: &'a ReceivedRequest,
-    /// The caller's id of the request.
+    /// The caller's request id.
     pub id: &'a str,
-    /// What it has in common with its repetitions under other ids.
+    /// Hash of the organisation, host, target and body. It is the same for
+    /// copies of the request with other ids.
     pub fingerprint: RequestFingerprint,
-    /// The configuration that it was judged by.
+    /// The configuration that was applied to it.
     pub config: Rc<ForwardConfig>,
     /// Its route.
     pub route: Arc<RouteEntry>,
-    /// The service that it goes to.
+    /// The service to which it is sent.
     pub service: ServiceId,
     /// The service's engines; `None` for a plain service.
     pub engine: Option<EngineFacts>,
-    /// The organisation and the rank of its requests.
+    /// The organisation and the priority of its requests.
     pub organisation: Option<(OrganisationId, Option<u8>)>,
-    /// Tokens of the request.
+    /// The request's token usage.
     pub usage: TokenUsage,
-    /// Parts of its prompt.
+    /// The parts of its prompt.
     pub shape: PromptShape,
-    /// When the caller or the operator no longer waits.
+    /// When the caller's or the route's time limit ends.
     pub deadline: ClockTime,
-    /// Tokens set aside.
+    /// The tokens reserved for it.
     pub reservation: Option<Rc<TokenReservation>>,
 }
 
-/// Counts a request while it is held.
+/// Counts a request and its bytes while it is being served.
 struct HeldRequest<'a> {
     router: &'a ForwardRouter,
     bytes: usize,
@@ -75,9 +76,9 @@
     }
 }
 
-/// Serves a request and returns whether the connection may be used again.
+/// Serves a request. Returns whether the caller's connection may be reused.
 ///
-/// When the caller leaves, everything that was begun for it ends at once.
+/// If the caller disconnects, all work for the request is cancelled at once.
 pub async fn serve_request(
     router: &Rc<ForwardRouter>,
     channel: &mut HttpChannel,
@@ -117,7 +118,8 @@
     }
 }
 
-/// Notes what a request spent when it ends, however it ends.
+/// Records the reserved and spent tokens when a request ends, also if it is
+/// cancelled.
 struct SpendingRecorder<'a> {
     reservation: Rc<TokenReservation>,
     record: &'a RequestRecord,
@@ -131,7 +133,7 @@
     }
 }
 
-/// Sends an answer of the router's own.
+/// Sends a refusal to the caller. Returns whether the connection may be reused.
 pub async fn send_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
--- a/crates/guavawell-forward/src/server_status.rs
+++ b/crates/guavawell-forward/src/server_status.rs
@@ -1,8 +1,9 @@
-//! What a server says of itself in the head of an answer, whatever request the
-//! answer is to.
+//! Reads what a server reports about itself in the head of any response: that
+//! it is leaving, or that it accepts no requests for a while.
 //!
-//! It holds for this life of the server and goes before what the platform lists:
-//! the platform hears of it later, or not at all while it is away.
+//! The report applies until the server restarts and takes precedence over the
+//! platform's entry, which is updated later, or not at all while the platform
+//! is unreachable.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
@@ -13,15 +14,16 @@
 use crate::http::ResponseHead;
 use crate::router::ForwardRouter;
 
-/// Field that says when to come back.
+/// Header field with the time for which a server accepts no requests.
 const RETRY_AFTER: &str = "retry-after";
-/// What a server that leaves says.
+/// Value of the leaving field.
 const LEAVING_VALUE: &str = "1";
 
-/// Takes in what a server says in the head of an answer.
+/// Applies the report in a response head to the server's entry.
 pub fn apply_server_status(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     if head.status == 421 {
-        // Another server has the address; these are its words.
+        // Another server has taken over the address; the report is not this
+        // server's.
         return;
     }
     if head
@@ -52,8 +54,8 @@
     router.log.emit(draft);
 }
 
-/// Takes in for how long a server that turned a request away wants no other one;
-/// of several times the longest.
+/// Applies the Retry-After of a server that rejected a request. The longest of
+/// several values counts.
 fn apply_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     let texts = head.fields.all(RETRY_AFTER);
     let longest = texts
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a forwarding router is told at its start.
+//! Settings of a forwarding router.
 
 use std::net::SocketAddr;
 
@@ -17,23 +17,23 @@
 
 use crate::field_names::FieldNames;
 
-/// Each server writes its entry every second or so, and an answer to each
-/// write would be a call of its own. A server that leaves serves three seconds
-/// longer: two questions in a row may fail in that time.
+/// A server updates its entry about once a second. The pause avoids one call
+/// for each update. A leaving server keeps serving for three seconds, so that
+/// two queries in a row may fail.
 const SERVER_PACE: QuestionPace = QuestionPace {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
     pause_each: ClockSpan::from_millis(4),
 };
 
-/// Addresses that the process listens on.
+/// Addresses on which the process listens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
     /// For callers.
     pub callers: Option<SocketAddr>,
-    /// For the balancer's health check, and for metrics.
+    /// For health checks by the load balancer, and for metrics.
     pub ready: Option<SocketAddr>,
-    /// For metrics alone.
+    /// For metrics only.
     pub metrics: Option<SocketAddr>,
     /// For other instances.
     pub peers: Option<SocketAddr>,
@@ -42,31 +42,33 @@
 /// Time limits of forwarding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeSettings {
-    /// Waits for connections to backend servers.
+    /// Timeouts for connecting to backend servers.
     pub connect: ConnectSettings,
-    /// Longest use of an idle connection whose server names no limit.
+    /// Longest idle time of a reused connection if the server announces no
+    /// limit.
     pub idle: ClockSpan,
-    /// Longest idle time of a connection for a request that may run once: one
-    /// that the server is about to close would lose it.
+    /// Longest idle time of a connection that is reused for a request that must
+    /// not be retried. If the server closed the connection at that moment, the
+    /// request would be lost.
     pub idle_once: ClockSpan,
-    /// Least time that an attempt which may be repeated gets before it is
-    /// given up for another server.
+    /// Least time that an attempt at a retryable request gets before another
+    /// server is tried.
     pub attempt: ClockSpan,
     /// Longest silence of a stream that another server can continue.
     pub stream_silence: ClockSpan,
-    /// How often the configuration is asked for.
+    /// How often the configuration is queried.
     pub config: QuestionPace,
-    /// How often the list of servers is asked for.
+    /// How often the list of servers is queried.
     pub servers: QuestionPace,
-    /// Servers whose entries vanish around trouble with the platform.
+    /// How servers are treated whose entries vanish around a platform outage.
     pub lapse: LapseSettings,
-    /// Time from SIGTERM in which requests are taken as ever: the balancer asks
-    /// once a second and needs two misses. Later ones are taken only if they
-    /// surely end before the process does.
+    /// Time from SIGTERM during which all requests are accepted: the load
+    /// balancer checks once a second and needs two failures. After that, only
+    /// requests are accepted that end before the process does.
     pub announce: ClockSpan,
     /// Time from SIGTERM to the end of the process.
     pub grace: ClockSpan,
-    /// Part of the grace that is kept for giving grants back.
+    /// Part of the grace period that is reserved for returning grants.
     pub give_back: ClockSpan,
 }
 
@@ -91,26 +93,26 @@
 /// All settings of a forwarding router.
 #[derive(Clone, Debug)]
 pub struct ForwardSettings {
-    /// This instance.
+    /// The id of this instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneId,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: ListenAddresses,
-    /// Header names of the interface.
+    /// The names of header fields.
     pub names: FieldNames,
-    /// Time limits.
+    /// The time limits.
     pub times: TimeSettings,
-    /// Choice of backend servers.
+    /// How backend servers are picked.
     pub choice: ChoiceSettings,
-    /// Bounds of admission.
+    /// Limits of admission.
     pub admission: AdmissionSettings,
-    /// When the own link counts as full.
+    /// When this instance's network link counts as full.
     pub congestion: CongestionSettings,
-    /// Allowance for repeats.
+    /// The retry budget.
     pub repeats: RepeatSettings,
-    /// Budgets.
+    /// Settings of budgets.
     pub book: BookSettings,
-    /// Requests that crash servers.
+    /// Settings for requests that crash servers.
     pub poison: PoisonSettings,
 }
--- a/crates/guavawell-forward/src/shutdown.rs
+++ b/crates/guavawell-forward/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: announce, finish what is held, give back, exit.
+//! Shuts the process down: announces it, waits for requests, returns grants.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::router::ForwardRouter;
 use crate::router::RouterPhase;
 
-/// Pause between looks at whether all requests have ended.
+/// Interval of checks whether all requests have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Leaves: from now on the process is not ready and ends connections after
-/// their present answer; returns once the process may exit. Returns whether
-/// every request had ended.
+/// Shuts down: the process is no longer ready and closes each connection after
+/// its current response. Returns when the process may exit, with whether all
+/// requests had ended.
 pub async fn shut_down(router: &Rc<ForwardRouter>) -> bool {
     let times = &router.settings.times;
     let began = router.clock.now();
@@ -34,7 +34,8 @@
     announced.or(announced_to_peers).await;
     let end = router.abort_at().unwrap_or(began);
     wait_for_requests(router, end).await;
-    // From here on callers are sent elsewhere, so that none is cut by the end.
+    // New requests are refused from here on, so that callers retry at other
+    // instances instead of being aborted.
     router.phase.set(RouterPhase::Closing(began));
     let timeout = async {
         Timer::after(timer_span(times.give_back)).await;
@@ -47,7 +48,7 @@
     finished
 }
 
-/// Waits until no request is held, or until `end`.
+/// Waits until no request is being served, for `end` at the latest.
 async fn wait_for_requests(router: &ForwardRouter, end: ClockTime) {
     while router.held_requests.get() > 0 && router.clock.now() < end {
         Timer::after(POLL_INTERVAL).await;
--- a/crates/guavawell-forward/src/sse.rs
+++ b/crates/guavawell-forward/src/sse.rs
@@ -1,20 +1,20 @@
-//! Events of a stream: where one ends, and what its id is.
+//! Finds the boundaries and ids of server-sent events.
 
-/// Counts the whole events in received bytes.
+/// The complete events in received bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventScan {
-    /// Bytes up to the end of the last whole event.
+    /// Number of bytes up to the end of the last complete event.
     pub complete_bytes: usize,
-    /// Whole events in them.
+    /// Number of complete events.
     pub count: u64,
-    /// The id of the first whole event, if it has one.
+    /// The id of the first complete event that has one.
     pub first_id: Option<u64>,
-    /// The id of the last whole event that has one.
+    /// The id of the last complete event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Finds the whole events at the beginning of `bytes`. An event ends with an
-/// empty line.
+/// Finds the complete events at the beginning of `bytes`. An empty line ends an
+/// event.
 #[must_use]
 pub fn scan_events(bytes: &[u8]) -> EventScan {
     let mut scan = EventScan::default();
--- a/crates/guavawell-forward/src/store.rs
+++ b/crates/guavawell-forward/src/store.rs
@@ -1,4 +1,4 @@
-//! The one interface to a platform's transactional rows.
+//! The interface to the platform's transactional rows.
 
 use std::fmt;
 use std::future::Future;
@@ -7,7 +7,7 @@
 use guavawell_core::clock::ClockTime;
 use thiserror::Error;
 
-/// A future on this process's one thread.
+/// A future that runs on the process's single thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Names a row. Rows of one part change together.
@@ -17,7 +17,7 @@
     pub table: &'static str,
     /// The part of the table.
     pub part: Box<str>,
-    /// The key in the part.
+    /// The key within the part.
     pub key: Box<str>,
 }
 
@@ -27,51 +27,51 @@
     }
 }
 
-/// A row's state.
+/// The state of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowState {
-    /// The row's version; 0 if there is no row.
+    /// The version; 0 if the row does not exist.
     pub version: u64,
-    /// The row's value, if there is a row.
+    /// The value; `None` if the row does not exist.
     pub value: Option<Box<[u8]>>,
-    /// The store's steady time when it answered.
+    /// The store's monotonic time when it answered.
     pub time: Option<ClockTime>,
-    /// The newest version of any row when it answered.
+    /// The newest version of any row when the store answered.
     pub newest: u64,
 }
 
-/// Rows of a table that changed after a version.
+/// Rows of a table that have changed since a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChanges {
     /// Part and state of each changed row, oldest change first.
     pub rows: Vec<(Box<str>, RowState)>,
-    /// The version to ask after next.
+    /// The version from which to read the next changes.
     pub newest: u64,
 }
 
 /// The answer to a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteAnswer {
-    /// The row has the new value, with this version, at the store's time.
+    /// The write succeeded: the row's new version and the store's time.
     Done(u64, Option<ClockTime>),
-    /// The row has another version; nothing was done.
+    /// The row has another version; nothing was written.
     Changed(RowState),
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreFault {
-    /// Nothing was done: the call was not sent, or was turned down.
-    #[error("not done: {0}")]
+    /// Nothing was done: the call was not sent, or the store rejected it.
+    #[error("request was not executed: {0}")]
     NotDone(Box<str>),
-    /// Nothing was done: calls come faster than the store carries them out.
-    #[error("turned down for its rate")]
+    /// Nothing was done: the store rejected the call because of its rate limit.
+    #[error("rate limit exceeded")]
     Limited,
-    /// The call may have been carried out, or may be later.
-    #[error("outcome unknown: {0}")]
+    /// The call may have been executed, or may be executed later.
+    #[error("request may have been executed: {0}")]
     Unknown(Box<str>),
-    /// The changes that were asked for are no longer kept.
-    #[error("history gone")]
+    /// The store no longer keeps the requested changes.
+    #[error("requested changes are no longer kept")]
     HistoryGone,
 }
 
@@ -81,25 +81,25 @@
 pub type WriteRow =
     Box<dyn Fn(RowKey, u64, Vec<u8>) -> LocalFuture<Result<WriteAnswer, StoreFault>>>;
 
-/// Reads the changes of a table after a version, without waiting for more.
+/// Reads the changes of a table since a version, without waiting for new ones.
 pub type ReadChanges =
     Box<dyn Fn(&'static str, u64) -> LocalFuture<Result<RowChanges, StoreFault>>>;
 
 /// Key and state of each row.
 pub type KeyedRows = Vec<(Box<str>, RowState)>;
 
-/// Reads all rows of a table's unnamed part.
+/// Reads all rows in the unnamed part of a table.
 pub type ReadTable = Box<dyn Fn(&'static str) -> LocalFuture<Result<KeyedRows, StoreFault>>>;
 
-/// Rows of the platform.
+/// Access to the platform's rows.
 pub struct RowStore {
     /// Reads a row.
     pub read: ReadRow,
-    /// Writes a row under a condition.
+    /// Writes a row conditionally.
     pub write: WriteRow,
-    /// Reads changes.
+    /// Reads the changes of a table.
     pub changes: ReadChanges,
-    /// Reads a table's unnamed part.
+    /// Reads the unnamed part of a table.
     pub table: ReadTable,
 }
 
--- a/crates/guavawell-forward/tests/http.rs
+++ b/crates/guavawell-forward/tests/http.rs
@@ -1,4 +1,5 @@
-//! Heads and bodies from outside, cut at every place and spoiled at random.
+//! Parses request heads, response heads, bodies and events that are split at
+//! any byte, malformed, or randomly corrupted.
 
 use guavawell_forward::http::BodyDecoder;
 use guavawell_forward::http::BodyFraming;
@@ -60,10 +61,10 @@
 #[test]
 fn answers_without_a_length_end_with_their_connection() {
     let head = b"HTTP/1.1 200 OK\r\n\r\n";
-    let head = ResponseHead::parse(head, false).expect("a head");
+    let head = ResponseHead::parse(head, false).expect("a valid head");
     assert_eq!(head.framing, BodyFraming::UntilClose);
     assert!(!head.keep);
-    let head = ResponseHead::parse(b"HTTP/1.1 204 No\r\n\r\n", false).expect("a head");
+    let head = ResponseHead::parse(b"HTTP/1.1 204 No\r\n\r\n", false).expect("a valid head");
     assert_eq!(head.framing, BodyFraming::Empty);
 }
 
@@ -97,7 +98,7 @@
         let _ = RequestHead::parse(&bytes);
         let _ = ResponseHead::parse(&bytes, false);
     }
-    let head = RequestHead::parse(good).expect("a head");
+    let head = RequestHead::parse(good).expect("a valid head");
     assert_eq!((&*head.host, head.path()), ("one.example", "/a/b"));
 }
 
--- a/crates/guavawell-forward/tests/schedule.rs
+++ b/crates/guavawell-forward/tests/schedule.rs
@@ -1,4 +1,5 @@
-//! Tasks of the platform's calls under a backlog of requests.
+//! Control tasks run before a backlog of request tasks. Otherwise a small
+//! instance under load would make its calls to the platform too late.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,12 +7,12 @@
 use futures_lite::future::yield_now;
 use guavawell_forward::schedule::TaskQueues;
 
-/// Requests that are all ready at once.
+/// Number of requests that are ready at the same time.
 const REQUESTS: usize = 400;
-/// Steps of each of them.
+/// Steps of each request.
 const REQUEST_STEPS: usize = 20;
-/// Steps of one call to the platform: connect, write, read head, read body,
-/// take it in, and the pause.
+/// Steps of one call to the platform: connect, write, read the head, read the
+/// body, handle the result, pause.
 const CALL_STEPS: usize = 6;
 
 #[test]
@@ -34,7 +35,11 @@
         }
     });
     smol::block_on(queues.run(call));
-    assert!(steps.get() <= REQUESTS, "{} steps came first", steps.get());
+    assert!(
+        steps.get() <= REQUESTS,
+        "{} request steps ran before the call finished",
+        steps.get()
+    );
 }
 
 #[test]
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -1,5 +1,6 @@
-//! A process that has just started: callers that lost their connections to the
-//! one before are there before it has read anything.
+//! Requests that arrive before a new process has read its initial state.
+//! Callers that lost their connections to the previous process reconnect at
+//! once, and would be refused if their requests did not wait.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -126,12 +127,12 @@
         router.config_received(told, router.clock.boot_now());
         assert!(
             poll_once(&mut first).await.is_none(),
-            "no server is known yet"
+            "the list of servers has not been read"
         );
         router.replace_server_list(Vec::new(), &[]);
         assert!(
             poll_once(&mut first).await.is_none(),
-            "what crashes servers is not known yet"
+            "the suspected requests have not been read"
         );
         router.suspects_loaded();
         assert!(poll_once(&mut first).await.is_some());
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -1,4 +1,5 @@
-//! Tries that stay open while later ones are begun.
+//! Earlier attempts of a query stay open while later ones are started, so that
+//! a late answer on a slow link still counts.
 
 use std::time::Duration;
 
@@ -6,10 +7,10 @@
 use guavawell_forward::http::OpenTry;
 use smol::Timer;
 
-/// Longer than any test waits.
+/// Longer than any test runs.
 const NEVER: Duration = Duration::from_secs(600);
 
-/// A patience that is over at once.
+/// Does not wait at all.
 const NONE: Duration = Duration::ZERO;
 
 type NumberTry = OpenTry<'static, u32, &'static str>;
@@ -88,7 +89,7 @@
         };
         assert_eq!(tries.first_answer(slow(1, 10), NONE).await, None);
         assert_eq!(tries.first_answer(silent(), NONE).await, None);
-        // The first one has given way to this one.
+        // The first attempt was dropped when this one was started.
         assert_eq!(tries.first_answer(slow(3, 40), NEVER).await, Some(Ok(3)));
         assert_eq!(
             tries.first_answer(failed(), NEVER).await,
