--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -69,9 +69,9 @@
     progress: &mut RequestProgress,
 ) -> AttemptOutcome {
     progress.tried.push(pick.server.clone());
-    let memory = call.usage.worst_case().get();
+    let memory_tokens = call.usage.worst_case().get();
     let suspect = router.poison.suspect(call.fingerprint);
-    let guard = InFlightGuard::new(router, pick, memory, suspect);
+    let guard = InFlightGuard::new(router, pick, memory_tokens, suspect);
     let began = router.clock.now();
     let Some(channel) = open_channel(router, call, &pick.server).await else {
         progress.unsent += 1;
@@ -80,8 +80,8 @@
             ClockSpan::from_millis(progress.unsent_time.as_millis() + passed.as_millis());
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
     };
-    let late = router.clock.left(call.deadline) == ClockSpan::default();
-    if late || !router.takes_requests(&pick.server) || !is_allowed(router, call) {
+    let expired = router.clock.left(call.deadline) == ClockSpan::default();
+    if expired || !router.takes_requests(&pick.server) || !is_allowed(router, call) {
         progress.unsent += 1;
         return AttemptOutcome::Ended(AttemptEnd::NotSent, None);
     }
@@ -205,9 +205,9 @@
             let head = response_head(&mut channel, is_head_request, |head| {
                 apply_server_status(router, guard.server(), head);
                 let echoed_id = head.fields.get(router.settings.names.request);
-                let own = echoed_id.is_none_or(|id| id == call.id);
-                stray.set(stray.get() || !own);
-                own
+                let is_own = echoed_id.is_none_or(|id| id == call.id);
+                stray.set(stray.get() || !is_own);
+                is_own
             });
             match within(timer_span(limit), head).await {
                 Err(ChannelError::TimedOut) if should_keep_waiting(router, call, &guard) => {
@@ -230,7 +230,7 @@
             guard.note_received();
             Ok(IncomingResponse {
                 decoder: BodyDecoder::new(head.framing),
-                clean: sent.get() && !stray.get(),
+                reusable: sent.get() && !stray.get(),
                 channel,
                 head,
                 guard,
--- a/crates/guavawell-forward/src/callers.rs
+++ b/crates/guavawell-forward/src/callers.rs
@@ -24,7 +24,7 @@
 use crate::serve::serve_request;
 
 /// Longest wait for the next part of a request body.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Accepts callers' connections until the process ends.
 pub async fn accept_callers(
@@ -55,7 +55,7 @@
 async fn serve_caller(router: &Rc<ForwardRouter>, mut channel: HttpChannel) {
     loop {
         let limits = caller_limits(router);
-        let request = match receive(router, &mut channel, &limits).await {
+        let request = match receive_request(router, &mut channel, &limits).await {
             Ok(request) => request,
             Err(refusal) => {
                 if let Some(response) = refusal {
@@ -90,7 +90,7 @@
 
 /// Receives one request. `Err(None)` means that the connection is closed
 /// without a response.
-async fn receive(
+async fn receive_request(
     router: &ForwardRouter,
     channel: &mut HttpChannel,
     limits: &ForwardLimits,
@@ -166,7 +166,12 @@
     let mut decoder = BodyDecoder::new(head.framing);
     let mut body = Vec::with_capacity(content_length.min(64 * 1024));
     loop {
-        match within(BODY_TIME, channel.body_part(&mut decoder, &mut body)).await {
+        match within(
+            BODY_PART_TIMEOUT,
+            channel.body_part(&mut decoder, &mut body),
+        )
+        .await
+        {
             Ok(_) if body.len() > limits.body_bytes => {
                 return refuse(ForwardRefusal::BodyTooLarge);
             }
--- a/crates/guavawell-forward/src/clock.rs
+++ b/crates/guavawell-forward/src/clock.rs
@@ -65,22 +65,22 @@
 
 /// Waits for a notification, for `limit` at most.
 pub async fn wait_until(notification: EventListener, limit: Duration) {
-    let late = async {
+    let timeout = async {
         Timer::after(limit).await;
     };
-    notification.or(late).await;
+    notification.or(timeout).await;
 }
 
-/// Waits while `condition` holds, for `patience` at most. Returns whether it
+/// Waits while `condition` holds, for `max_wait` at most. Returns whether it
 /// stopped holding in time. `changed` must be notified whenever the condition
 /// may have changed.
 pub async fn wait_while(
     clock: &SteadyClock,
     changed: &Event,
-    patience: ClockSpan,
+    max_wait: ClockSpan,
     condition: impl Fn() -> bool,
 ) -> bool {
-    let until = clock.now() + patience;
+    let until = clock.now() + max_wait;
     while condition() {
         let notification = changed.listen();
         let rest = clock.left(until);
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -90,7 +90,7 @@
 impl CrashChecks {
     /// Returns a check of the server whose result still applies, or that is
     /// still running.
-    fn find(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
+    fn find_check(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
         let mut checks = self.checks.borrow_mut();
         checks.retain(|check| now.since(check.began) < CHECK_TTL);
         let is_current = |check: &&Rc<CrashCheck>| {
@@ -107,7 +107,7 @@
         checks.iter().rev().find(is_current).cloned()
     }
 
-    fn begin(&self, server: &ServerLife, now: ClockTime) -> Rc<CrashCheck> {
+    fn start_check(&self, server: &ServerLife, now: ClockTime) -> Rc<CrashCheck> {
         let check = Rc::new(CrashCheck {
             server: server.clone(),
             began: now,
@@ -197,10 +197,10 @@
         return false;
     }
     let now = router.clock.now();
-    if let Some(check) = router.crashes.find(server, now) {
+    if let Some(check) = router.crashes.find_check(server, now) {
         return wait_for_result(&check).await;
     }
-    let check = router.crashes.begin(server, now);
+    let check = router.crashes.start_check(server, now);
     let crashed = probe_server(router, server).await;
     check.crashed.set(Some(crashed));
     check.finished.notify(usize::MAX);
--- a/crates/guavawell-forward/src/in_flight.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -15,8 +15,8 @@
 pub struct InFlightGuard {
     router: Rc<ForwardRouter>,
     server: ServerLife,
-    unread: Cell<u64>,
-    memory: u64,
+    unread_tokens: Cell<u64>,
+    memory_tokens: u64,
     /// The request's fingerprint, if servers have crashed while running it.
     suspect: Option<RequestFingerprint>,
 }
@@ -27,19 +27,19 @@
     pub fn new(
         router: &Rc<ForwardRouter>,
         pick: &ServerPick,
-        memory: u64,
+        memory_tokens: u64,
         suspect: Option<RequestFingerprint>,
     ) -> Self {
         let now = router.clock.now();
         if let Some(server) = router.servers.borrow_mut().get_mut(&pick.server) {
-            server.begin(now, pick.unread_tokens, memory);
+            server.begin(now, pick.unread_tokens, memory_tokens);
             server.suspects.extend(suspect);
         }
         Self {
             router: Rc::clone(router),
             server: pick.server.clone(),
-            unread: Cell::new(pick.unread_tokens),
-            memory,
+            unread_tokens: Cell::new(pick.unread_tokens),
+            memory_tokens,
             suspect,
         }
     }
@@ -58,9 +58,9 @@
 
     /// Records that the server has processed the prompt.
     pub fn prompt_read(&self) {
-        let unread = self.unread.replace(0);
+        let unread_tokens = self.unread_tokens.replace(0);
         self.change(|server| {
-            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread);
+            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread_tokens);
         });
     }
 
@@ -110,10 +110,10 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let unread = self.unread.get();
-        let memory = self.memory;
+        let unread_tokens = self.unread_tokens.get();
+        let memory_tokens = self.memory_tokens;
         self.change(|server| {
-            server.finish(unread, memory);
+            server.finish(unread_tokens, memory_tokens);
             let index = server
                 .suspects
                 .iter()
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -25,8 +25,8 @@
 use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
 use crate::routing::RETRY_NO_CONFIG;
+use crate::routing::authenticate;
 use crate::routing::find_route;
-use crate::routing::identify;
 use crate::routing::note_config;
 use crate::serve::ForwardCall;
 
@@ -63,17 +63,17 @@
     note_config(router, &config, record);
     let route = find_route(router, &config, request)?;
     record.note("route", &route.name);
-    let organisation = identify(router, &config, &route, request)?;
+    let organisation = authenticate(router, &config, &route, request)?;
     if let Some((organisation, _)) = &organisation {
-        record.organisation(organisation);
+        record.set_organisation(organisation);
     }
     let fingerprint = fingerprint_of(request, organisation.as_ref());
     record.note("fingerprint", fingerprint);
     let (usage, shape) = read_prompt(router, request)?;
     let deadline = request_deadline(router, &route, request)?;
     let left = router.clock.left(deadline);
-    let patience = ClockSpan::from_millis(left.as_millis() / WAIT_DIVISOR);
-    if let Some(span) = router.poison.judge(fingerprint, patience).await {
+    let max_wait = ClockSpan::from_millis(left.as_millis() / WAIT_DIVISOR);
+    if let Some(span) = router.poison.judge(fingerprint, max_wait).await {
         return Err(RefusalResponse::new(ForwardRefusal::CrashesServers).after(span));
     }
     if !router.can_finish(deadline) {
@@ -117,11 +117,11 @@
     if router.has_initial_state() {
         return Ok(());
     }
-    let patience = patience(router, request, MAX_START_WAIT)?;
-    let late = async {
-        Timer::after(timer_span(patience)).await;
+    let max_wait = wait_limit(router, request, MAX_START_WAIT)?;
+    let timeout = async {
+        Timer::after(timer_span(max_wait)).await;
     };
-    router.wait_for_initial_state().or(late).await;
+    router.wait_for_initial_state().or(timeout).await;
     Ok(())
 }
 
@@ -134,16 +134,16 @@
     if !router.configs.is_awaited() && !router.servers_awaited() {
         return Ok(());
     }
-    let patience = patience(router, request, MAX_OVERDUE_WAIT)?;
-    let until = router.clock.now() + patience;
-    router.configs.await_check(patience).await;
+    let max_wait = wait_limit(router, request, MAX_OVERDUE_WAIT)?;
+    let until = router.clock.now() + max_wait;
+    router.configs.await_check(max_wait).await;
     router.await_servers(router.clock.left(until)).await;
     Ok(())
 }
 
 /// The time that the request may wait: `max_wait`, or a share of the caller's
 /// time limit if that is less.
-fn patience(
+fn wait_limit(
     router: &ForwardRouter,
     request: &ReceivedRequest,
     max_wait: ClockSpan,
--- a/crates/guavawell-forward/src/record.rs
+++ b/crates/guavawell-forward/src/record.rs
@@ -48,7 +48,7 @@
     }
 
     /// Sets the organisation that sent the request.
-    pub fn organisation(&self, organisation: &OrganisationId) {
+    pub fn set_organisation(&self, organisation: &OrganisationId) {
         self.state.borrow_mut().organisation = Some(organisation.clone());
     }
 
@@ -72,20 +72,20 @@
 
     /// Sets the outcome: the caller received a server's response.
     pub fn answered(&self, status: u16) {
-        self.end("answered", status);
+        self.set_outcome("answered", status);
     }
 
     /// Sets the outcome: the router refused the request.
     pub fn refused(&self, refusal: ForwardRefusal, status: u16) {
-        self.end(refusal.as_str(), status);
+        self.set_outcome(refusal.as_str(), status);
     }
 
     /// Sets the outcome: a response ended before it was complete.
     pub fn truncated(&self) {
-        self.end("stream_cut", 200);
+        self.set_outcome("stream_cut", 200);
     }
 
-    fn end(&self, outcome: &'static str, status: u16) {
+    fn set_outcome(&self, outcome: &'static str, status: u16) {
         let mut state = self.state.borrow_mut();
         state.outcome = outcome;
         state.status = status;
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -53,7 +53,7 @@
     let mut body = Vec::new();
     loop {
         let left = time_left(router, call.deadline);
-        match within(left, response.part(&mut body)).await {
+        match within(left, response.receive_part(&mut body)).await {
             Ok(true) if body.len() > MAX_BUFFERED_BODY => {
                 return relay_unbuffered(router, caller, call, response, body).await;
             }
@@ -110,18 +110,18 @@
     mut response: IncomingResponse,
     mut body: Vec<u8>,
 ) -> AttemptOutcome {
-    let mut writer = StreamWriter::new(router, call);
+    let mut writer = ResponseWriter::new(router, call);
     let status = response.head.status;
-    writer.begin(&response);
+    writer.write_head(&response);
     loop {
-        writer.content(&body);
+        writer.write_content(&body);
         body.clear();
-        if caller.send(writer.out()).await.is_err() {
+        if caller.send(writer.pending()).await.is_err() {
             return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
         let left = time_left(router, call.deadline);
-        match within(left, response.part(&mut body)).await {
+        match within(left, response.receive_part(&mut body)).await {
             Ok(true) => response.guard.note_received(),
             Ok(false) => break,
             Err(_) => {
@@ -131,9 +131,9 @@
         }
     }
     response.finish(router);
-    writer.content(&body);
-    writer.end();
-    match caller.send(writer.out()).await {
+    writer.write_content(&body);
+    writer.write_end();
+    match caller.send(writer.pending()).await {
         Ok(()) => AttemptOutcome::Delivered(status, writer.keep),
         Err(_) => AttemptOutcome::CallerDisconnected,
     }
@@ -147,7 +147,7 @@
     progress: &mut RequestProgress,
     mut response: IncomingResponse,
 ) -> AttemptOutcome {
-    let mut writer = StreamWriter::new(router, call);
+    let mut writer = ResponseWriter::new(router, call);
     let mut buffered = Vec::new();
     loop {
         let more = match next_part(router, call, progress, &mut response, &mut buffered).await {
@@ -178,21 +178,21 @@
         };
         if ready > 0 || !more {
             if !stream.begun {
-                writer.begin(&response);
+                writer.write_head(&response);
                 stream.begun = true;
                 stream.first_at = Some(router.clock.now());
                 response.guard.prompt_read();
             }
-            writer.content(&buffered[..ready]);
+            writer.write_content(&buffered[..ready]);
             buffered.drain(..ready);
             stream.events += scan.count;
             stream.last_event = scan.last_id.or(stream.last_event);
             charge(call, stream.events);
         }
         if !more {
-            writer.end();
+            writer.write_end();
         }
-        if !writer.out().is_empty() && caller.send(writer.out()).await.is_err() {
+        if !writer.pending().is_empty() && caller.send(writer.pending()).await.is_err() {
             return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
@@ -219,7 +219,7 @@
     loop {
         let left = router.clock.left(call.deadline);
         let limit = if resumable { silence.min(left) } else { left };
-        match within(timer_span(limit), response.part(buffered)).await {
+        match within(timer_span(limit), response.receive_part(buffered)).await {
             Err(ChannelError::TimedOut)
                 if resumable && left > limit && !response.guard.is_silent() => {}
             Ok(more) => {
@@ -255,23 +255,23 @@
 }
 
 /// Formats a response for the caller.
-struct StreamWriter {
-    out: Vec<u8>,
+struct ResponseWriter {
+    pending: Vec<u8>,
     chunked: bool,
     keep: bool,
 }
 
-impl StreamWriter {
+impl ResponseWriter {
     fn new(router: &ForwardRouter, call: &ForwardCall<'_>) -> Self {
         let chunked = call.request.head.takes_chunks;
         Self {
-            out: Vec::new(),
+            pending: Vec::new(),
             chunked,
             keep: chunked && call.request.head.keep && !router.is_leaving(),
         }
     }
 
-    fn begin(&mut self, response: &IncomingResponse) {
+    fn write_head(&mut self, response: &IncomingResponse) {
         let mut head = HeadWriter::response(response.head.status, &response.head.reason);
         copy_fields(&response.head.fields, &mut head);
         if self.chunked {
@@ -280,28 +280,28 @@
         if !self.keep {
             head.field("Connection", b"close");
         }
-        self.out.extend_from_slice(&head.finish());
+        self.pending.extend_from_slice(&head.finish());
     }
 
-    fn content(&mut self, content: &[u8]) {
+    fn write_content(&mut self, content: &[u8]) {
         if self.chunked {
-            write_chunk(content, &mut self.out);
+            write_chunk(content, &mut self.pending);
         } else {
-            self.out.extend_from_slice(content);
+            self.pending.extend_from_slice(content);
         }
     }
 
-    fn end(&mut self) {
+    fn write_end(&mut self) {
         if self.chunked {
-            self.out.extend_from_slice(b"0\r\n\r\n");
+            self.pending.extend_from_slice(b"0\r\n\r\n");
         }
     }
 
-    fn out(&self) -> &[u8] {
-        &self.out
+    fn pending(&self) -> &[u8] {
+        &self.pending
     }
 
     fn clear(&mut self) {
-        self.out.clear();
+        self.pending.clear();
     }
 }
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -45,8 +45,8 @@
     if let Some(event) = resumed {
         head.field_of(names.last_event, event);
     }
-    let bodied = request.head.framing != BodyFraming::Empty;
-    if bodied {
+    let has_body = request.head.framing != BodyFraming::Empty;
+    if has_body {
         head.field_of("Content-Length", request.body.len());
     }
     let mut bytes = head.finish();
--- a/crates/guavawell-forward/src/response.rs
+++ b/crates/guavawell-forward/src/response.rs
@@ -67,7 +67,7 @@
     pub decoder: BodyDecoder,
     /// Whether the whole request was sent and no response to another request
     /// was received. Only then may the connection be reused.
-    pub clean: bool,
+    pub reusable: bool,
     /// Counts the request at the server.
     pub guard: InFlightGuard,
 }
@@ -80,7 +80,7 @@
     ///
     /// The connection failed, or the server has restarted and the rest of the
     /// response is lost.
-    pub async fn part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
+    pub async fn receive_part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
         let part = self.channel.body_part(&mut self.decoder, body);
         let restarted = async {
             self.guard.server_restarted().await;
@@ -94,7 +94,7 @@
     pub fn finish(self, router: &ForwardRouter) {
         self.guard.note_outcome(false);
         let done = self.decoder.is_done();
-        if self.clean && done && self.head.keep && self.channel.is_quiet() {
+        if self.reusable && done && self.head.keep && self.channel.is_quiet() {
             let keep = keep_alive_span(&self.head.fields, router.settings.times.idle);
             let now = router.clock.now();
             let mut pool = router.pool.borrow_mut();
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -82,7 +82,7 @@
     loop {
         let rechecked = recheck_config(router, &mut call, progress.outcome.may_have_run, record);
         let call = &call;
-        let pick = match rechecked.and_then(|()| choose(router, call, &progress)) {
+        let pick = match rechecked.and_then(|()| pick_server(router, call, &progress)) {
             Ok(pick) => pick,
             Err(refusal) => {
                 return end_without_response(
@@ -94,7 +94,7 @@
         record.note("server", &pick.server);
         let outcome = send_attempt(router, caller, call, &pick, &mut progress).await;
         record.note("attempts", progress.sent);
-        note_suspicion(router, call, &progress, &pick.server, &outcome).await;
+        update_suspicion(router, call, &progress, &pick.server, &outcome).await;
         let (end, response) = match outcome {
             AttemptOutcome::Delivered(status, keep) => {
                 note_stream(record, &progress.stream);
@@ -134,7 +134,7 @@
     refusal: ForwardRefusal,
     failure: Option<BufferedResponse>,
 ) -> bool {
-    settle(call, record, progress);
+    settle_reservation(call, record, progress);
     match failure {
         Some(response) if !progress.stream.begun => {
             relay_failure(router, caller, call, record, &response).await
@@ -145,7 +145,7 @@
 
 /// Releases the reservation of a request that ends without a complete response,
 /// unless it is charged.
-fn settle(call: &ForwardCall<'_>, record: &RequestRecord, progress: &RequestProgress) {
+fn settle_reservation(call: &ForwardCall<'_>, record: &RequestRecord, progress: &RequestProgress) {
     let Some(reservation) = &call.reservation else {
         return;
     };
@@ -168,7 +168,7 @@
     }
 }
 
-fn choose(
+fn pick_server(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
@@ -223,7 +223,7 @@
 
 /// Updates the suspicion of the request: clears it after a complete response,
 /// and checks for a crash if the response was lost.
-async fn note_suspicion(
+async fn update_suspicion(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -288,10 +288,10 @@
         self.server_age.get().is_awaited(overdue_after, now)
     }
 
-    /// Waits for the overdue list of servers, for `patience` at most.
-    pub async fn await_servers(&self, patience: ClockSpan) {
+    /// Waits for the overdue list of servers, for `max_wait` at most.
+    pub async fn await_servers(&self, max_wait: ClockSpan) {
         let awaited = || self.servers_awaited();
-        if !wait_while(&self.clock, &self.servers_answered, patience, awaited).await {
+        if !wait_while(&self.clock, &self.servers_answered, max_wait, awaited).await {
             let mut age = self.server_age.get();
             age.waited_in_vain();
             self.server_age.set(age);
--- a/crates/guavawell-forward/src/routing.rs
+++ b/crates/guavawell-forward/src/routing.rs
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// The refusal of a request without a known key.
-pub fn identify(
+pub fn authenticate(
     router: &ForwardRouter,
     config: &ForwardConfig,
     route: &RouteEntry,
@@ -153,7 +153,7 @@
 ) -> Result<Arc<RouteEntry>, ForwardRefusal> {
     let refusal = |answer: RefusalResponse| answer.refusal;
     let route = find_route(router, config, call.request).map_err(refusal)?;
-    let organisation = identify(router, config, &route, call.request).map_err(refusal)?;
+    let organisation = authenticate(router, config, &route, call.request).map_err(refusal)?;
     let id = |ranked: &Option<RankedOrganisation>| ranked.as_ref().map(|(id, _)| id.clone());
     if id(&organisation) == id(&call.organisation) {
         Ok(route)
--- a/crates/guavawell-forward/src/schedule.rs
+++ b/crates/guavawell-forward/src/schedule.rs
@@ -35,7 +35,7 @@
 
     async fn run_forever<T>(&self) -> T {
         loop {
-            if self.step() {
+            if self.run_steps() {
                 yield_now().await;
             } else {
                 self.control.tick().or(self.requests.tick()).await;
@@ -45,7 +45,7 @@
 
     /// Runs up to [`STEPS_PER_POLL`] request steps, and before each one all
     /// control tasks that are ready. Returns whether more may be ready.
-    fn step(&self) -> bool {
+    fn run_steps(&self) -> bool {
         for _ in 0..STEPS_PER_POLL {
             while self.control.try_tick() {}
             if !self.requests.try_tick() {
