--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -140,8 +140,8 @@
 
     /// Handles the store's answer to a query for the configuration that was
     /// sent at `asked`.
-    pub fn config_received(&self, told: ConfigTold<'_>, asked: ClockTime) {
-        let Some(config) = self.configs.store_told(told, asked) else {
+    pub fn config_received(&self, fetched: ConfigTold<'_>, asked: ClockTime) {
+        let Some(config) = self.configs.store_told(fetched, asked) else {
             return;
         };
         self.apply_paid_amounts(&config);
