--- a/crates/guavawell-forward/src/ready.rs
+++ b/crates/guavawell-forward/src/admin.rs
@@ -1,4 +1,5 @@
-//! Readiness and metrics.
+//! The HTTP endpoint for health checks, metrics and the list of suspected
+//! requests.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -17,18 +18,18 @@
 use crate::peer::KEY_FIELD;
 use crate::router::ForwardRouter;
 
-/// Where the requests that are suspected of crashing servers are listed.
+/// Path that lists the requests suspected of crashing servers.
 const SUSPECTS_PATH: &str = "/suspects";
-/// What comes before the fingerprint of a request that is not to be suspected any
-/// more.
+/// Path prefix that clears the suspicion of the request whose fingerprint
+/// follows.
 const ACQUIT_PATH: &str = "/suspects/acquit/";
-/// Largest head of a question, in bytes.
-const HEAD_BYTES: usize = 8 * 1024;
-/// Longest time that a connection of a prober stays idle.
-const IDLE: Duration = Duration::from_secs(30);
+/// Largest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Longest time that a connection may stay idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers the balancer's probes and the collector's questions.
-pub async fn answer_probes(
+/// Serves health checks, metrics and operators' requests.
+pub async fn serve_admin(
     router: Rc<ForwardRouter>,
     listener: Async<TcpListener>,
     metrics: PrometheusHandle,
@@ -38,8 +39,8 @@
         let router = Rc::clone(&router);
         let metrics = metrics.clone();
         let serve = async move {
-            if let Err(error) = serve_prober(&router, channel, &metrics).await {
-                log::debug!("a probe's connection ended: {error}");
+            if let Err(error) = serve_connection(&router, channel, &metrics).await {
+                log::debug!("admin connection failed: {error}");
             }
         };
         executor.spawn(serve).detach();
@@ -47,20 +48,20 @@
     accept_all("probe", &listener, serve).await;
 }
 
-async fn serve_prober(
+async fn serve_connection(
     router: &ForwardRouter,
     mut channel: HttpChannel,
     metrics: &PrometheusHandle,
 ) -> Result<(), ChannelError> {
     loop {
-        let length = match within(IDLE, channel.head(HEAD_BYTES)).await {
+        let length = match within(IDLE_TIMEOUT, channel.head(MAX_HEAD_BYTES)).await {
             Ok(length) => length,
             Err(ChannelError::Closed | ChannelError::TimedOut) => return Ok(()),
             Err(error) => return Err(error),
         };
         let head = RequestHead::parse(&channel.received()[..length])?;
         channel.consume(length);
-        let (status, body) = answer(router, &head, metrics);
+        let (status, body) = respond(router, &head, metrics);
         let mut writer = HeadWriter::response(status, if status == 200 { "OK" } else { "No" });
         writer.field("Content-Type", b"text/plain; version=0.0.4");
         writer.field_of("Content-Length", body.len());
@@ -73,7 +74,11 @@
     }
 }
 
-fn answer(router: &ForwardRouter, head: &RequestHead, metrics: &PrometheusHandle) -> (u16, String) {
+fn respond(
+    router: &ForwardRouter,
+    head: &RequestHead,
+    metrics: &PrometheusHandle,
+) -> (u16, String) {
     match head.path() {
         "/metrics" => (200, metrics.render()),
         SUSPECTS_PATH => (200, router.poison.listing()),
@@ -83,8 +88,7 @@
     }
 }
 
-/// Takes back what is believed of a request, if the fleet's key comes with the
-/// demand.
+/// Clears the suspicion of a request. The caller must send the fleet's key.
 fn acquit(router: &ForwardRouter, head: &RequestHead) -> (u16, String) {
     if !router.peers.knows_key(head.fields.get(KEY_FIELD)) {
         return (
--- a/crates/guavawell-forward/src/door.rs
+++ b/crates/guavawell-forward/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one task each.
+//! Accepts callers' connections and serves each one in its own task.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 use crate::http::HttpChannel;
 use crate::http::RequestHead;
 use crate::http::within;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
 use crate::serve::serve_request;
 
-/// Longest time that a body may take for each started mebibyte.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Longest wait for the next part of a request body.
+const BODY_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts callers for as long as the process lives.
+/// Accepts callers' connections until the process ends.
 pub async fn accept_callers(
     router: Rc<ForwardRouter>,
     listener: Async<TcpListener>,
@@ -41,25 +41,25 @@
     accept_all("caller", &listener, serve).await;
 }
 
-/// A whole request.
+/// A request that was received completely.
 #[derive(Debug)]
 pub struct ReceivedRequest {
-    /// Its head.
+    /// The head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// The body, decoded.
     pub body: Vec<u8>,
-    /// When its head was whole.
+    /// When the head had been received.
     pub received_at: ClockTime,
 }
 
 async fn serve_caller(router: &Rc<ForwardRouter>, mut channel: HttpChannel) {
     loop {
         let limits = caller_limits(router);
-        let request = match receive(router, &mut channel, &limits).await {
+        let request = match receive_request(router, &mut channel, &limits).await {
             Ok(request) => request,
             Err(refusal) => {
-                if let Some(answer) = refusal {
-                    refuse_early(router, &channel, &answer).await;
+                if let Some(response) = refusal {
+                    refuse_unread(router, &channel, &response).await;
                 }
                 return;
             }
@@ -71,15 +71,15 @@
     }
 }
 
-async fn refuse_early(router: &ForwardRouter, channel: &HttpChannel, answer: &RefusalAnswer) {
-    let outcome = answer.refusal.as_str();
+async fn refuse_unread(router: &ForwardRouter, channel: &HttpChannel, response: &RefusalResponse) {
+    let outcome = response.refusal.as_str();
     metrics::counter!("guavawell_forward_requests_total", "outcome" => outcome).increment(1);
     let draft = guavawell_fleet::event::EventDraft::new("request.refused_unread")
         .field("outcome", outcome)
-        .field("status", answer.status());
+        .field("status", response.status());
     router.log.emit(draft);
-    if let Err(error) = answer.send(channel, None, false).await {
-        log::debug!("a refusal was not delivered: {error}");
+    if let Err(error) = response.send(channel, None, false).await {
+        log::debug!("failed to send a refusal to the caller: {error}");
     }
 }
 
@@ -88,12 +88,13 @@
     config.map(|config| config.limits).unwrap_or_default()
 }
 
-/// Receives one request; `Err(None)` if the connection just ends.
-async fn receive(
+/// Receives one request. `Err(None)` means that the connection is closed
+/// without a response.
+async fn receive_request(
     router: &ForwardRouter,
     channel: &mut HttpChannel,
     limits: &ForwardLimits,
-) -> Result<ReceivedRequest, Option<RefusalAnswer>> {
+) -> Result<ReceivedRequest, Option<RefusalResponse>> {
     await_first_byte(channel, limits.idle_time).await?;
     let head = receive_head(channel, limits).await?;
     let received_at = router.clock.now();
@@ -108,7 +109,7 @@
 async fn await_first_byte(
     channel: &mut HttpChannel,
     limit: ClockSpan,
-) -> Result<(), Option<RefusalAnswer>> {
+) -> Result<(), Option<RefusalResponse>> {
     if !channel.received().is_empty() {
         return Ok(());
     }
@@ -122,7 +123,7 @@
 async fn receive_head(
     channel: &mut HttpChannel,
     limits: &ForwardLimits,
-) -> Result<RequestHead, Option<RefusalAnswer>> {
+) -> Result<RequestHead, Option<RefusalResponse>> {
     let head = within(
         timer_span(limits.head_time),
         channel.head(limits.head_bytes),
@@ -131,13 +132,13 @@
     let length = match head {
         Ok(length) => length,
         Err(ChannelError::HeadTooLong) => {
-            return Err(Some(RefusalAnswer::new(ForwardRefusal::HeadTooLarge)));
+            return Err(Some(RefusalResponse::new(ForwardRefusal::HeadTooLarge)));
         }
         Err(_) => return Err(None),
     };
     let parsed = RequestHead::parse(&channel.received()[..length]);
     channel.consume(length);
-    parsed.map_err(|_| Some(RefusalAnswer::new(ForwardRefusal::Malformed)))
+    parsed.map_err(|_| Some(RefusalResponse::new(ForwardRefusal::Malformed)))
 }
 
 async fn receive_body(
@@ -145,17 +146,17 @@
     channel: &mut HttpChannel,
     head: &RequestHead,
     limits: &ForwardLimits,
-) -> Result<Vec<u8>, Option<RefusalAnswer>> {
-    let refuse = |refusal| Err(Some(RefusalAnswer::new(refusal)));
-    let announced = match head.framing {
+) -> Result<Vec<u8>, Option<RefusalResponse>> {
+    let refuse = |refusal| Err(Some(RefusalResponse::new(refusal)));
+    let content_length = match head.framing {
         BodyFraming::Empty => return Ok(Vec::new()),
         BodyFraming::Length(length) => usize::try_from(length).unwrap_or(usize::MAX),
         BodyFraming::Chunked | BodyFraming::UntilClose => 0,
     };
-    if announced > limits.body_bytes {
+    if content_length > limits.body_bytes {
         return refuse(ForwardRefusal::BodyTooLarge);
     }
-    if router.held_bytes.get() + announced > router.settings.admission.body_bytes {
+    if router.held_bytes.get() + content_length > router.settings.admission.body_bytes {
         return refuse(ForwardRefusal::NoMemory);
     }
     if head.fields.has_token("expect", "100-continue") {
@@ -163,9 +164,14 @@
         sent.map_err(|_| None)?;
     }
     let mut decoder = BodyDecoder::new(head.framing);
-    let mut body = Vec::with_capacity(announced.min(64 * 1024));
+    let mut body = Vec::with_capacity(content_length.min(64 * 1024));
     loop {
-        match within(BODY_TIME, channel.body_part(&mut decoder, &mut body)).await {
+        match within(
+            BODY_PART_TIMEOUT,
+            channel.body_part(&mut decoder, &mut body),
+        )
+        .await
+        {
             Ok(_) if body.len() > limits.body_bytes => {
                 return refuse(ForwardRefusal::BodyTooLarge);
             }
--- /dev/null
+++ b/crates/guavawell-forward/src/connect.rs
@@ -0,0 +1,71 @@
+//! Provides the connection for an attempt: an idle one from the pool or a new
+//! one.
+
+use guavawell_core::clock::ClockTime;
+use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::ServerLife;
+
+use crate::clock::timer_span;
+use crate::crash::note_refused;
+use crate::http::ChannelError;
+use crate::http::HttpChannel;
+use crate::router::ForwardRouter;
+use crate::serve::ForwardCall;
+
+/// Returns a connection to a server. On failure returns `None`, and other
+/// servers are preferred for a while.
+pub async fn open_channel(
+    router: &ForwardRouter,
+    call: &ForwardCall<'_>,
+    server: &ServerLife,
+) -> Option<HttpChannel> {
+    let times = &router.settings.times;
+    let once = call.route.repeat == RepeatKind::Once;
+    let max_idle = if once { times.idle_once } else { times.idle };
+    let now = router.clock.now();
+    let idle = router.pool.borrow_mut().take(server, now, max_idle);
+    if idle.is_some() {
+        return idle;
+    }
+    let address = router.servers.borrow().get(server)?.address;
+    let limit = router.connect_pace.get().limit(&times.connect);
+    let limit = limit.min(router.clock.left(call.deadline));
+    metrics::counter!("guavawell_forward_connections_total").increment(1);
+    let began = router.clock.now();
+    let result = HttpChannel::connect(address, timer_span(limit)).await;
+    note_connect_time(router, result.as_ref().err(), began);
+    match result {
+        Ok(channel) => Some(channel),
+        Err(error) => {
+            log::debug!("cannot connect to {server}: {error}");
+            note_connect_failure(router, server, &error);
+            None
+        }
+    }
+}
+
+/// Records how long a connection took to open, or that it timed out.
+fn note_connect_time(router: &ForwardRouter, error: Option<&ChannelError>, began: ClockTime) {
+    let mut pace = router.connect_pace.get();
+    if matches!(error, Some(ChannelError::TimedOut)) {
+        pace.timed_out();
+        router.note_connect_time(None);
+    } else {
+        let took = router.clock.now().since(began);
+        pace.answered(took);
+        router.note_connect_time(Some(took));
+    }
+    router.connect_pace.set(pace);
+}
+
+fn note_connect_failure(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
+    if error.is_refusal() {
+        note_refused(router, server);
+        return;
+    }
+    let now = router.clock.now();
+    if let Some(entry) = router.servers.borrow_mut().get_mut(server) {
+        entry.refuse(now);
+    }
+    router.pool.borrow_mut().drop_connections(server);
+}
--- a/crates/guavawell-forward/src/lease.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! One request in flight at a backend server.
+//! Tracks one request in flight at a backend server.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,61 +10,62 @@
 
 use crate::router::ForwardRouter;
 
-/// Counts a request at a server while it runs there.
+/// Counts a request in its server's load until the guard is dropped.
 #[derive(Debug)]
-pub struct ServerLease {
+pub struct InFlightGuard {
     router: Rc<ForwardRouter>,
     server: ServerLife,
-    unread: Cell<u64>,
-    memory: u64,
-    /// The request, if servers have crashed under it.
+    unread_tokens: Cell<u64>,
+    memory_tokens: u64,
+    /// The request's fingerprint, if servers have crashed while running it.
     suspect: Option<RequestFingerprint>,
 }
 
-impl ServerLease {
-    /// Counts a request that is about to be sent.
+impl InFlightGuard {
+    /// Counts a request that is about to be sent to the picked server.
     #[must_use]
     pub fn new(
         router: &Rc<ForwardRouter>,
         pick: &ServerPick,
-        memory: u64,
+        memory_tokens: u64,
         suspect: Option<RequestFingerprint>,
     ) -> Self {
         let now = router.clock.now();
         if let Some(server) = router.servers.borrow_mut().get_mut(&pick.server) {
-            server.begin(now, pick.unread_tokens, memory);
+            server.begin(now, pick.unread_tokens, memory_tokens);
             server.suspects.extend(suspect);
         }
         Self {
             router: Rc::clone(router),
             server: pick.server.clone(),
-            unread: Cell::new(pick.unread_tokens),
-            memory,
+            unread_tokens: Cell::new(pick.unread_tokens),
+            memory_tokens,
             suspect,
         }
     }
 
-    /// The server.
+    /// The server that runs the request.
     #[must_use]
     pub const fn server(&self) -> &ServerLife {
         &self.server
     }
 
-    /// Bytes of the server were received.
-    pub fn heard(&self) {
+    /// Records that bytes were received from the server.
+    pub fn note_received(&self) {
         let now = self.router.clock.now();
         self.change(|server| server.health.heard_at = now);
     }
 
-    /// The server has read the prompt.
+    /// Records that the server has processed the prompt.
     pub fn prompt_read(&self) {
-        let unread = self.unread.replace(0);
+        let unread_tokens = self.unread_tokens.replace(0);
         self.change(|server| {
-            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread);
+            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread_tokens);
         });
     }
 
-    /// Whether the server has said nothing to anyone here for long.
+    /// Whether the server has sent nothing to this instance for a while
+    /// although requests are in flight, or is no longer listed.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         let now = self.router.clock.now();
@@ -74,31 +75,32 @@
             .is_none_or(|server| server.silent(now))
     }
 
-    /// Waits until a later life of the server is known: no answer will come
-    /// from this one.
-    pub async fn life_ended(&self) {
+    /// Waits until the server is known to have restarted: the process that
+    /// received the request will not respond.
+    pub async fn server_restarted(&self) {
         loop {
-            let reborn = self.router.reborn.listen();
-            if self.is_succeeded() {
+            let restart_event = self.router.restart_event.listen();
+            if self.has_restarted() {
                 return;
             }
-            reborn.await;
+            restart_event.await;
         }
     }
 
-    fn is_succeeded(&self) -> bool {
+    fn has_restarted(&self) -> bool {
         let servers = self.router.servers.borrow();
         let newest = servers.newest(&self.server.id);
         newest.is_some_and(|entry| entry.life.born > self.server.born)
     }
 
-    /// The outcome, where the server could have served the request.
-    pub fn rate(&self, failed: bool) {
+    /// Adds the outcome of the request to the server's failure rate. Called
+    /// only if the server could have served the request.
+    pub fn note_outcome(&self, failed: bool) {
         let now = self.router.clock.now();
         self.change(|server| server.rate(now, failed));
     }
 
-    /// Changes what is known of the server, if it is still listed.
+    /// Updates the entry of the server, if it is still listed.
     pub fn change(&self, change: impl FnOnce(&mut ServerEntry)) {
         if let Some(server) = self.router.servers.borrow_mut().get_mut(&self.server) {
             change(server);
@@ -106,17 +108,17 @@
     }
 }
 
-impl Drop for ServerLease {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let unread = self.unread.get();
-        let memory = self.memory;
+        let unread_tokens = self.unread_tokens.get();
+        let memory_tokens = self.memory_tokens;
         self.change(|server| {
-            server.finish(unread, memory);
-            let place = server
+            server.finish(unread_tokens, memory_tokens);
+            let index = server
                 .suspects
                 .iter()
                 .position(|held| Some(*held) == self.suspect);
-            place.map(|place| server.suspects.swap_remove(place));
+            index.map(|index| server.suspects.swap_remove(index));
         });
     }
 }
--- a/crates/guavawell-forward/src/lib.rs
+++ b/crates/guavawell-forward/src/lib.rs
@@ -1,46 +1,49 @@
-//! Forwards opaque requests to backend servers within prepaid budgets.
+//! Forwards requests to backend servers within prepaid token budgets, without
+//! interpreting their bodies.
 //!
-//! The rules stand in `guavawell_core::forward` and `guavawell_core::grant`;
-//! this crate carries them out on one thread: callers (`door`, `serve`),
-//! backend servers (`pool`, `attempt`, `relay`), budget rows and loans between
-//! instances (`budget`), requests that crash servers (`poison`, `crash`), the order of tasks (`schedule`), and the process's
-//! life (`leave`, `ready`). It knows no wire names of the
-//! platform it runs on; those are translated by whoever starts it.
+//! The rules are in `guavawell_core::forward` and `guavawell_core::grant`; this
+//! crate runs them on one thread: callers' requests (`callers`, `prepare`,
+//! `routing`, `serve`), backend servers (`retry`, `attempt`, `connect`, `pool`,
+//! `relay`), budget rows and loans between instances (`budget`), requests that
+//! crash servers (`poison`, `crash`), the order of tasks (`schedule`), and the
+//! health and shutdown of the process (`admin`, `shutdown`). It contains no
+//! header names and no wire formats of the platform; the binary translates
+//! those.
 
 #![expect(
     clippy::future_not_send,
-    reason = "one thread serves everything: an instance has one core"
+    reason = "all tasks run on one thread, as an instance has one core"
 )]
 
 pub mod accept;
-pub mod answer;
+pub mod admin;
 pub mod attempt;
 pub mod budget;
+pub mod callers;
 pub mod clock;
 pub mod config;
+pub mod connect;
 pub mod crash;
-pub mod door;
-pub mod events;
+pub mod field_names;
+pub mod housekeeping;
 pub mod http;
-pub mod judge;
-pub mod lease;
-pub mod leave;
-pub mod names;
-pub mod open;
+pub mod in_flight;
 pub mod peer;
 pub mod poison;
 pub mod pool;
 pub mod prepare;
-pub mod ready;
 pub mod record;
-pub mod refuse;
+pub mod refusal;
 pub mod relay;
 pub mod request;
+pub mod response;
+pub mod retry;
 pub mod router;
+pub mod routing;
 pub mod schedule;
-pub mod send;
 pub mod serve;
+pub mod server_status;
 pub mod settings;
+pub mod shutdown;
+pub mod sse;
 pub mod store;
-pub mod watch;
-pub mod words;
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -7,11 +7,11 @@
 use crate::http::FieldList;
 use crate::http::HttpChannel;
 
-/// Most idle connections that are kept to one server.
+/// Maximum number of idle connections per server.
 const MAX_IDLE: usize = 48;
-/// Part of the idle time named by a server that is made use of, in percent:
-/// it may close earlier than it says.
-const IDLE_PART: u64 = 60;
+/// Percentage of the server's keep-alive timeout that is used, as the server
+/// may close the connection earlier than it announces.
+const KEEP_ALIVE_PERCENT: u64 = 60;
 
 #[derive(Debug)]
 struct IdleChannel {
@@ -20,25 +20,27 @@
     until: ClockTime,
 }
 
-/// Idle connections, by life of a server.
+/// Idle connections of each server.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    /// Sorted by life; the newest connection last.
+    /// Sorted by server; the connections of each are ordered from oldest to
+    /// newest.
     servers: Vec<(ServerLife, Vec<IdleChannel>)>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that was idle for `most_idle` at most.
+    /// Removes and returns an open connection that has been idle for `max_idle`
+    /// at most.
     pub fn take(
         &mut self,
         server: &ServerLife,
         now: ClockTime,
-        most_idle: ClockSpan,
+        max_idle: ClockSpan,
     ) -> Option<HttpChannel> {
-        let place = self.servers.binary_search_by(|(id, _)| id.cmp(server));
-        let idle = &mut self.servers[place.ok()?].1;
+        let index = self.servers.binary_search_by(|(id, _)| id.cmp(server));
+        let idle = &mut self.servers[index.ok()?].1;
         while let Some(entry) = idle.pop() {
-            if now.since(entry.since) > most_idle {
+            if now.since(entry.since) > max_idle {
                 idle.push(entry);
                 return None;
             }
@@ -49,7 +51,8 @@
         None
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Adds a connection after a complete response. It may stay idle for
+    /// `keep`.
     pub fn put(
         &mut self,
         server: &ServerLife,
@@ -57,14 +60,14 @@
         now: ClockTime,
         keep: ClockSpan,
     ) {
-        let place = match self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
-            Ok(place) => place,
-            Err(place) => {
-                self.servers.insert(place, (server.clone(), Vec::new()));
-                place
+        let index = match self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
+            Ok(index) => index,
+            Err(index) => {
+                self.servers.insert(index, (server.clone(), Vec::new()));
+                index
             }
         };
-        let idle = &mut self.servers[place].1;
+        let idle = &mut self.servers[index].1;
         if idle.len() < MAX_IDLE {
             idle.push(IdleChannel {
                 channel,
@@ -74,15 +77,14 @@
         }
     }
 
-    /// Drops all connections to a server.
-    pub fn forget(&mut self, server: &ServerLife) {
-        if let Ok(place) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
-            self.servers.remove(place);
+    /// Closes all idle connections to a server.
+    pub fn drop_connections(&mut self, server: &ServerLife) {
+        if let Ok(index) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
+            self.servers.remove(index);
         }
     }
 
-    /// Drops connections whose time is over, so that neither end holds them
-    /// for nothing.
+    /// Closes expired connections, to free resources on both sides.
     pub fn sweep(&mut self, now: ClockTime) {
         for (_, idle) in &mut self.servers {
             idle.retain(|entry| now < entry.until);
@@ -91,15 +93,15 @@
     }
 }
 
-/// How long a connection may stay idle by its server's word.
+/// How long a connection may stay idle, from the server's `Keep-Alive` header.
 #[must_use]
-pub fn keep_span(fields: &FieldList, default: ClockSpan) -> ClockSpan {
-    let told = fields.get("keep-alive").and_then(|value| {
+pub fn keep_alive_span(fields: &FieldList, default: ClockSpan) -> ClockSpan {
+    let timeout = fields.get("keep-alive").and_then(|value| {
         let mut parts = value.split(',').map(str::trim);
         let seconds = parts.find_map(|part| part.strip_prefix("timeout="))?;
         seconds.parse::<u64>().ok()
     });
-    told.map_or(default, |seconds| {
-        ClockSpan::from_millis(seconds * 1_000 * IDLE_PART / 100)
+    timeout.map_or(default, |seconds| {
+        ClockSpan::from_millis(seconds * 1_000 * KEEP_ALIVE_PERCENT / 100)
     })
 }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -1,4 +1,4 @@
-//! A server's answer on its way to the caller.
+//! Relays a server's response to the caller.
 
 use std::rc::Rc;
 
@@ -7,84 +7,86 @@
 use guavawell_core::forward::RepeatKind;
 use guavawell_core::id::TokenCount;
 
-use crate::answer::OpenAnswer;
-use crate::answer::PlainAnswer;
-use crate::answer::copy_fields;
 use crate::attempt::AttemptOutcome;
 use crate::attempt::time_left;
 use crate::clock::timer_span;
-use crate::events::scan_events;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::within;
 use crate::http::write_chunk;
+use crate::response::BufferedResponse;
+use crate::response::IncomingResponse;
+use crate::response::copy_fields;
+use crate::retry::RequestProgress;
 use crate::router::ForwardRouter;
-use crate::send::RequestProgress;
 use crate::serve::ForwardCall;
+use crate::sse::scan_events;
 
-/// Largest plain answer that is held back until it is whole, in bytes; up to
-/// here a spoiled answer can be replaced by another server's.
-const HELD_ANSWER: usize = 256 * 1024;
+/// Largest response, other than a stream, that is buffered completely before it
+/// is sent, in bytes. While it is buffered, another server can still replace it
+/// if it fails.
+const MAX_BUFFERED_BODY: usize = 256 * 1024;
 /// Largest event of a stream, in bytes.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// A stream as far as the caller has it.
+/// How much of a stream the caller has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamProgress {
-    /// The head was sent.
+    /// Whether the response head was sent.
     pub begun: bool,
-    /// When the first part of the stream was sent.
+    /// When the first part was sent.
     pub first_at: Option<ClockTime>,
     /// Id of the last event that was sent.
     pub last_event: Option<u64>,
-    /// Events that were sent.
+    /// Number of events that were sent.
     pub events: u64,
 }
 
-/// Relays an answer that is not a stream of events.
+/// Relays a response that is not an event stream.
 pub async fn relay_plain(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
 ) -> AttemptOutcome {
     let mut body = Vec::new();
     loop {
-        let left = time_left(router, call.ends_at);
-        match within(left, answer.part(&mut body)).await {
-            Ok(true) if body.len() > HELD_ANSWER => {
-                return pass_through(router, caller, call, answer, body).await;
+        let left = time_left(router, call.deadline);
+        match within(left, response.receive_part(&mut body)).await {
+            Ok(true) if body.len() > MAX_BUFFERED_BODY => {
+                return relay_unbuffered(router, caller, call, response, body).await;
             }
-            Ok(true) => answer.lease.heard(),
+            Ok(true) => response.guard.note_received(),
             Ok(false) => break,
             Err(error) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Ended(end_of(&error), None);
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Ended(attempt_end(&error), None);
             }
         }
     }
-    let whole = PlainAnswer {
-        head: answer.head.clone(),
+    let complete = BufferedResponse {
+        head: response.head.clone(),
         body,
     };
-    if let Some(end) = failure_of(whole.head.status) {
-        answer.lease.rate(true);
-        let told = (end == AttemptEnd::Failed).then_some(whole);
-        return AttemptOutcome::Ended(end, told);
+    if let Some(end) = failure_end(complete.head.status) {
+        response.guard.note_outcome(true);
+        let server_failure = (end == AttemptEnd::Failed).then_some(complete);
+        return AttemptOutcome::Ended(end, server_failure);
     }
-    answer.finish(router);
+    response.finish(router);
     let keep = call.request.head.keep && !router.is_leaving();
-    let bytes = whole.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep);
     match caller.send(&bytes).await {
-        Ok(()) => AttemptOutcome::Delivered(whole.head.status, keep),
-        Err(_) => AttemptOutcome::CallerLost,
+        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep),
+        Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
 
-/// Whether a status is a failure of the server. Statuses that would promise
-/// that the request has not run are not passed on without the server's proof.
-fn failure_of(status: u16) -> Option<AttemptEnd> {
+/// How a response with this status ends the attempt, if it is a failure.
+/// Statuses from which a caller may conclude that the request did not run are
+/// not relayed, as the server did not confirm that.
+fn failure_end(status: u16) -> Option<AttemptEnd> {
     match status {
         408 | 421 | 429 | 503 => Some(AttemptEnd::Lost),
         500.. => Some(AttemptEnd::Failed),
@@ -92,7 +94,7 @@
     }
 }
 
-fn end_of(error: &ChannelError) -> AttemptEnd {
+fn attempt_end(error: &ChannelError) -> AttemptEnd {
     if matches!(error, ChannelError::TimedOut) {
         AttemptEnd::Silent
     } else {
@@ -100,120 +102,128 @@
     }
 }
 
-/// Relays a large answer as it comes.
-async fn pass_through(
+/// Relays a response that is too large for the buffer, part by part.
+async fn relay_unbuffered(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
     mut body: Vec<u8>,
 ) -> AttemptOutcome {
-    let mut writer = StreamWriter::new(router, call);
-    let status = answer.head.status;
-    writer.begin(&answer);
+    let mut writer = ResponseWriter::new(router, call);
+    let status = response.head.status;
+    writer.write_head(&response);
     loop {
-        writer.content(&body);
+        writer.write_content(&body);
         body.clear();
-        if caller.send(writer.out()).await.is_err() {
-            return AttemptOutcome::CallerLost;
+        if caller.send(writer.pending()).await.is_err() {
+            return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
-        let left = time_left(router, call.ends_at);
-        match within(left, answer.part(&mut body)).await {
-            Ok(true) => answer.lease.heard(),
+        let left = time_left(router, call.deadline);
+        match within(left, response.receive_part(&mut body)).await {
+            Ok(true) => response.guard.note_received(),
             Ok(false) => break,
             Err(_) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Cut;
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Truncated;
             }
         }
     }
-    answer.finish(router);
-    writer.content(&body);
-    writer.end();
-    match caller.send(writer.out()).await {
+    response.finish(router);
+    writer.write_content(&body);
+    writer.write_end();
+    match caller.send(writer.pending()).await {
         Ok(()) => AttemptOutcome::Delivered(status, writer.keep),
-        Err(_) => AttemptOutcome::CallerLost,
+        Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
 
-/// Relays a stream of events, each as soon as it is whole.
+/// Relays an event stream, each event as soon as it is complete.
 pub async fn relay_stream(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     progress: &mut RequestProgress,
-    mut answer: OpenAnswer,
+    mut response: IncomingResponse,
 ) -> AttemptOutcome {
-    let mut writer = StreamWriter::new(router, call);
-    let mut held = Vec::new();
+    let mut writer = ResponseWriter::new(router, call);
+    let mut buffered = Vec::new();
     loop {
-        let more = match next_part(router, call, progress, &mut answer, &mut held).await {
+        let more = match next_part(router, call, progress, &mut response, &mut buffered).await {
             Ok(more) => more,
             Err(error) => {
-                answer.lease.rate(true);
-                return AttemptOutcome::Ended(end_of(&error), None);
+                response.guard.note_outcome(true);
+                return AttemptOutcome::Ended(attempt_end(&error), None);
             }
         };
         let stream = &mut progress.stream;
-        let scan = scan_events(&held);
-        if !follows(stream, scan.first_id) || held.len() - scan.whole > MAX_EVENT {
-            answer.lease.rate(true);
+        let scan = scan_events(&buffered);
+        if !is_next_event(stream, scan.first_id)
+            || buffered.len() - scan.complete_bytes > MAX_EVENT_BYTES
+        {
+            response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
-        let rest = held.len() - scan.whole;
-        if !more && rest > 0 && answer.decoder.ends_with_connection() {
-            // The connection ended within an event.
-            answer.lease.rate(true);
+        let rest = buffered.len() - scan.complete_bytes;
+        if !more && rest > 0 && response.decoder.ends_with_connection() {
+            // The connection was closed in the middle of an event.
+            response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
-        let ready = if more { scan.whole } else { held.len() };
+        let ready = if more {
+            scan.complete_bytes
+        } else {
+            buffered.len()
+        };
         if ready > 0 || !more {
             if !stream.begun {
-                writer.begin(&answer);
+                writer.write_head(&response);
                 stream.begun = true;
                 stream.first_at = Some(router.clock.now());
-                answer.lease.prompt_read();
+                response.guard.prompt_read();
             }
-            writer.content(&held[..ready]);
-            held.drain(..ready);
+            writer.write_content(&buffered[..ready]);
+            buffered.drain(..ready);
             stream.events += scan.count;
             stream.last_event = scan.last_id.or(stream.last_event);
             charge(call, stream.events);
         }
         if !more {
-            writer.end();
+            writer.write_end();
         }
-        if !writer.out().is_empty() && caller.send(writer.out()).await.is_err() {
-            return AttemptOutcome::CallerLost;
+        if !writer.pending().is_empty() && caller.send(writer.pending()).await.is_err() {
+            return AttemptOutcome::CallerDisconnected;
         }
         writer.clear();
         if !more {
-            answer.finish(router);
+            response.finish(router);
             return AttemptOutcome::Delivered(200, writer.keep);
         }
     }
 }
 
-/// Waits for more of a stream. One that another server can continue is given
-/// up when its server is silent; all others wait until the request's end.
+/// Waits for the next part of a stream. If another server can continue the
+/// stream, a silent server times out; otherwise the wait lasts until the
+/// request's deadline.
 async fn next_part(
     router: &Rc<ForwardRouter>,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
-    answer: &mut OpenAnswer,
-    held: &mut Vec<u8>,
+    response: &mut IncomingResponse,
+    buffered: &mut Vec<u8>,
 ) -> Result<bool, ChannelError> {
-    let movable = call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
+    let resumable =
+        call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
     let silence = router.settings.times.stream_silence;
     loop {
-        let left = router.clock.left(call.ends_at);
-        let limit = if movable { silence.min(left) } else { left };
-        match within(timer_span(limit), answer.part(held)).await {
-            Err(ChannelError::TimedOut) if movable && left > limit && !answer.lease.is_silent() => {
-            }
+        let left = router.clock.left(call.deadline);
+        let limit = if resumable { silence.min(left) } else { left };
+        match within(timer_span(limit), response.receive_part(buffered)).await {
+            Err(ChannelError::TimedOut)
+                if resumable && left > limit && !response.guard.is_silent() => {}
             Ok(more) => {
-                answer.lease.heard();
+                response.guard.note_received();
                 return Ok(more);
             }
             Err(error) => return Err(error),
@@ -221,15 +231,17 @@
     }
 }
 
-/// Whether the first event of a part comes right after the last one sent.
-fn follows(stream: &StreamProgress, first: Option<u64>) -> bool {
+/// Whether the first event of a part directly follows the last one that was
+/// sent.
+fn is_next_event(stream: &StreamProgress, first: Option<u64>) -> bool {
     match (stream.last_event, first) {
         (Some(last), Some(first)) => first == last + 1,
         _ => true,
     }
 }
 
-/// Charges the prompt and what the events hold at most.
+/// Charges the prompt and the most output tokens that the sent events can
+/// contain.
 fn charge(call: &ForwardCall<'_>, events: u64) {
     let Some(reservation) = &call.reservation else {
         return;
@@ -242,54 +254,54 @@
     reservation.spend(spent);
 }
 
-/// Frames an answer for the caller.
-struct StreamWriter {
-    out: Vec<u8>,
+/// Formats a response for the caller.
+struct ResponseWriter {
+    pending: Vec<u8>,
     chunked: bool,
     keep: bool,
 }
 
-impl StreamWriter {
+impl ResponseWriter {
     fn new(router: &ForwardRouter, call: &ForwardCall<'_>) -> Self {
         let chunked = call.request.head.takes_chunks;
         Self {
-            out: Vec::new(),
+            pending: Vec::new(),
             chunked,
             keep: chunked && call.request.head.keep && !router.is_leaving(),
         }
     }
 
-    fn begin(&mut self, answer: &OpenAnswer) {
-        let mut head = HeadWriter::response(answer.head.status, &answer.head.reason);
-        copy_fields(&answer.head.fields, &mut head);
+    fn write_head(&mut self, response: &IncomingResponse) {
+        let mut head = HeadWriter::response(response.head.status, &response.head.reason);
+        copy_fields(&response.head.fields, &mut head);
         if self.chunked {
             head.field("Transfer-Encoding", b"chunked");
         }
         if !self.keep {
             head.field("Connection", b"close");
         }
-        self.out.extend_from_slice(&head.finish());
+        self.pending.extend_from_slice(&head.finish());
     }
 
-    fn content(&mut self, content: &[u8]) {
+    fn write_content(&mut self, content: &[u8]) {
         if self.chunked {
-            write_chunk(content, &mut self.out);
+            write_chunk(content, &mut self.pending);
         } else {
-            self.out.extend_from_slice(content);
+            self.pending.extend_from_slice(content);
         }
     }
 
-    fn end(&mut self) {
+    fn write_end(&mut self) {
         if self.chunked {
-            self.out.extend_from_slice(b"0\r\n\r\n");
+            self.pending.extend_from_slice(b"0\r\n\r\n");
         }
     }
 
-    fn out(&self) -> &[u8] {
-        &self.out
+    fn pending(&self) -> &[u8] {
+        &self.pending
     }
 
     fn clear(&mut self) {
-        self.out.clear();
+        self.pending.clear();
     }
 }
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -1,18 +1,18 @@
-//! A request as a backend server gets it.
+//! Builds the request that is sent to a backend server.
 
 use guavawell_core::forward::ServerLife;
 
 use crate::http::BodyFraming;
 use crate::http::HeadWriter;
 use crate::http::is_hop_by_hop;
+use crate::retry::RequestProgress;
 use crate::router::ForwardRouter;
-use crate::send::RequestProgress;
 use crate::serve::ForwardCall;
 
-/// Rank of the least urgent requests.
+/// The lowest priority. Smaller numbers are more urgent.
 const LAST_PRIORITY: u8 = 9;
 
-/// The request as the server gets it: method, target and body unchanged.
+/// Serializes the request for a server. Method, target and body are unchanged.
 #[must_use]
 pub fn request_bytes(
     router: &ForwardRouter,
@@ -33,7 +33,7 @@
             head.field(name, value);
         }
     }
-    let left = router.clock.left(call.ends_at).as_millis();
+    let left = router.clock.left(call.deadline).as_millis();
     head.field_of(names.time_left, left);
     head.field(names.expected_server, server.id.as_str().as_bytes());
     if let Some((organisation, _)) = &call.organisation {
@@ -45,8 +45,8 @@
     if let Some(event) = resumed {
         head.field_of(names.last_event, event);
     }
-    let bodied = request.head.framing != BodyFraming::Empty;
-    if bodied {
+    let has_body = request.head.framing != BodyFraming::Empty;
+    if has_body {
         head.field_of("Content-Length", request.body.len());
     }
     let mut bytes = head.finish();
@@ -54,7 +54,7 @@
     bytes
 }
 
-/// The organisation's rank goes before the route's.
+/// The organisation's priority, or the route's if the organisation has none.
 fn priority(call: &ForwardCall<'_>) -> u8 {
     let own = call
         .organisation
@@ -63,7 +63,7 @@
     own.unwrap_or(call.route.priority).min(LAST_PRIORITY)
 }
 
-/// Fields that this router sets or drops, whatever the caller sent.
+/// Whether the router sets or removes this field, whatever the caller sent.
 fn is_own_field(router: &ForwardRouter, name: &str) -> bool {
     let names = &router.settings.names;
     let own = [
--- a/crates/guavawell-forward/src/answer.rs
+++ b/crates/guavawell-forward/src/response.rs
@@ -1,4 +1,5 @@
-//! A server's answer, and how it goes to the caller or back to the pool.
+//! A server's response, its serialization for the caller, and the return of its
+//! connection to the pool.
 
 use futures_lite::FutureExt;
 
@@ -9,26 +10,26 @@
 use crate::http::HttpChannel;
 use crate::http::ResponseHead;
 use crate::http::is_hop_by_hop;
-use crate::lease::ServerLease;
-use crate::pool::keep_span;
+use crate::in_flight::InFlightGuard;
+use crate::pool::keep_alive_span;
 use crate::router::ForwardRouter;
 
-/// A whole answer of a server.
+/// A response that was received completely.
 #[derive(Debug)]
-pub struct PlainAnswer {
-    /// Its head.
+pub struct BufferedResponse {
+    /// The response head.
     pub head: ResponseHead,
-    /// Its body.
+    /// The decoded body.
     pub body: Vec<u8>,
 }
 
-impl PlainAnswer {
-    /// The answer as it goes to the caller.
+impl BufferedResponse {
+    /// Serializes the response for the caller.
     #[must_use]
-    pub fn bytes(&self, to_head: bool, keep: bool) -> Vec<u8> {
+    pub fn bytes(&self, is_head_request: bool, keep: bool) -> Vec<u8> {
         let mut head = HeadWriter::response(self.head.status, &self.head.reason);
         copy_fields(&self.head.fields, &mut head);
-        if to_head {
+        if is_head_request {
             for value in self.head.fields.all("content-length") {
                 head.field("Content-Length", value);
             }
@@ -44,7 +45,8 @@
     }
 }
 
-/// Copies a server's fields but for those of one connection.
+/// Copies the server's header fields, except `Content-Length` and hop-by-hop
+/// fields.
 pub fn copy_fields(fields: &FieldList, head: &mut HeadWriter) {
     for (name, value) in fields.iter() {
         let framing = name.eq_ignore_ascii_case("content-length");
@@ -54,47 +56,49 @@
     }
 }
 
-/// A server's answer whose body is still to come.
+/// A response whose body is still being received.
 #[derive(Debug)]
-pub struct OpenAnswer {
+pub struct IncomingResponse {
     /// The connection to the server.
     pub channel: HttpChannel,
-    /// The answer's head.
+    /// The response head.
     pub head: ResponseHead,
     /// Decodes the body.
     pub decoder: BodyDecoder,
-    /// Whether the whole request was sent and nothing else came on the
-    /// connection, so that it may be used again.
-    pub clean: bool,
+    /// Whether the whole request was sent and no response to another request
+    /// was received. Only then may the connection be reused.
+    pub reusable: bool,
     /// Counts the request at the server.
-    pub lease: ServerLease,
+    pub guard: InFlightGuard,
 }
 
-impl OpenAnswer {
-    /// Receives the next part of the body; false at its end.
+impl IncomingResponse {
+    /// Receives the next part of the body. Returns false at the end of the
+    /// body.
     ///
     /// # Errors
     ///
-    /// The connection failed, or the server started again: what is left of the
-    /// answer is lost then.
-    pub async fn part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
+    /// The connection failed, or the server has restarted and the rest of the
+    /// response is lost.
+    pub async fn receive_part(&mut self, body: &mut Vec<u8>) -> Result<bool, ChannelError> {
         let part = self.channel.body_part(&mut self.decoder, body);
-        let ended = async {
-            self.lease.life_ended().await;
+        let restarted = async {
+            self.guard.server_restarted().await;
             Err(ChannelError::Closed)
         };
-        part.or(ended).await
+        part.or(restarted).await
     }
 
-    /// Gives the connection back after a whole answer.
+    /// Returns the connection to the pool after a complete response, if it can
+    /// be reused.
     pub fn finish(self, router: &ForwardRouter) {
-        self.lease.rate(false);
+        self.guard.note_outcome(false);
         let done = self.decoder.is_done();
-        if self.clean && done && self.head.keep && self.channel.is_quiet() {
-            let keep = keep_span(&self.head.fields, router.settings.times.idle);
+        if self.reusable && done && self.head.keep && self.channel.is_quiet() {
+            let keep = keep_alive_span(&self.head.fields, router.settings.times.idle);
             let now = router.clock.now();
             let mut pool = router.pool.borrow_mut();
-            pool.put(self.lease.server(), self.channel, now, keep);
+            pool.put(self.guard.server(), self.channel, now, keep);
         }
     }
 }
--- a/crates/guavawell-forward/src/send.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request.
+//! Sends a request to one server after another until one responds.
 
 use std::rc::Rc;
 
@@ -18,56 +18,58 @@
 use guavawell_core::poison::SuspicionMark;
 use guavawell_fleet::event::EventDraft;
 
-use crate::answer::PlainAnswer;
 use crate::attempt::AttemptOutcome;
-use crate::attempt::abandoned;
+use crate::attempt::abandoned_attempt;
 use crate::attempt::send_attempt;
-use crate::crash::note_lost;
+use crate::crash::note_lost_attempt;
 use crate::http::HttpChannel;
-use crate::judge::judge_again;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::relay::StreamProgress;
+use crate::response::BufferedResponse;
 use crate::router::ForwardRouter;
+use crate::routing::recheck_config;
 use crate::serve::ForwardCall;
-use crate::serve::refuse;
+use crate::serve::send_refusal;
 
-/// Servers that may refuse a connection before a request is turned away.
+/// Number of attempts that may end without the request being sent, for example
+/// because a connection was refused.
 const MAX_UNSENT: usize = 4;
-/// Time that may go into connections that were not to be had: as long as so many
-/// dead servers take.
-const UNSENT_PATIENCE: ClockSpan = ClockSpan::from_millis(1_000);
-/// Least time for another attempt.
-const LEAST_TIME: ClockSpan = ClockSpan::from_millis(15);
-/// Retry-After where no server is to be had: about the time in which a server
-/// that restarts is listed again.
+/// Longest time spent on such attempts: about the time that [`MAX_UNSENT`]
+/// unreachable servers take.
+const MAX_UNSENT_TIME: ClockSpan = ClockSpan::from_millis(1_000);
+/// Least remaining time for another attempt.
+const MIN_ATTEMPT_TIME: ClockSpan = ClockSpan::from_millis(15);
+/// Retry-After if no server is available: about the time until a restarted
+/// server is listed again.
 const RETRY_NO_SERVER: ClockSpan = ClockSpan::from_millis(1_000);
-/// Retry-After where all servers are full: a few of their answers.
+/// Retry-After if all servers are full: the time of a few responses.
 const RETRY_FULL: ClockSpan = ClockSpan::from_millis(600);
-/// Spread of Retry-After, so that callers do not return at one moment.
+/// Random addition to Retry-After, so that callers do not all retry at the same
+/// time.
 const RETRY_SPREAD_MS: u64 = 400;
 
-/// What became of a request so far.
+/// The state of a request across its attempts.
 #[derive(Debug, Default)]
 pub struct RequestProgress {
-    /// Servers that were chosen.
+    /// Servers that were picked so far.
     pub tried: Vec<ServerLife>,
-    /// Attempts that reached a server.
+    /// Attempts whose request was sent to a server.
     pub sent: u32,
-    /// Attempts that never left this instance.
+    /// Attempts whose request was not sent.
     pub unsent: usize,
-    /// Time that went into them.
+    /// Time spent on connections that could not be opened.
     pub unsent_time: ClockSpan,
-    /// What it pays if it ends without its whole answer.
+    /// Determines the charge if the request ends without a complete response.
     pub outcome: RequestOutcome,
-    /// How far the request was suspected when it was last sent.
+    /// The suspicion of the request when it was last sent.
     pub suspicion: SuspicionMark,
-    /// The stream as far as the caller has it.
+    /// How much of the stream the caller has received.
     pub stream: StreamProgress,
 }
 
-/// Sends a request until the caller has an answer; returns whether the
-/// caller's connection may be used again.
+/// Sends a request until the caller has a response. Returns whether the
+/// caller's connection may be reused.
 pub async fn run_attempts(
     router: &Rc<ForwardRouter>,
     caller: &HttpChannel,
@@ -78,12 +80,12 @@
     let mut failure = None;
     router.count_request(&call.service);
     loop {
-        let judged = judge_again(router, &mut call, progress.outcome.may_have_run, record);
+        let rechecked = recheck_config(router, &mut call, progress.outcome.may_have_run, record);
         let call = &call;
-        let pick = match judged.and_then(|()| choose(router, call, &progress)) {
+        let pick = match rechecked.and_then(|()| pick_server(router, call, &progress)) {
             Ok(pick) => pick,
             Err(refusal) => {
-                return end_without_answer(
+                return end_without_response(
                     router, caller, call, record, &progress, refusal, failure,
                 )
                 .await;
@@ -92,55 +94,58 @@
         record.note("server", &pick.server);
         let outcome = send_attempt(router, caller, call, &pick, &mut progress).await;
         record.note("attempts", progress.sent);
-        note_suspicion(router, call, &progress, &pick.server, &outcome).await;
-        let (end, answer) = match outcome {
+        update_suspicion(router, call, &progress, &pick.server, &outcome).await;
+        let (end, response) = match outcome {
             AttemptOutcome::Delivered(status, keep) => {
                 note_stream(record, &progress.stream);
                 record.answered(status);
                 return keep;
             }
-            AttemptOutcome::CallerLost => return false,
-            AttemptOutcome::Cut => {
-                record.cut();
+            AttemptOutcome::CallerDisconnected => return false,
+            AttemptOutcome::Truncated => {
+                record.truncated();
                 return false;
             }
-            AttemptOutcome::Ended(end, answer) => (end, answer),
+            AttemptOutcome::Ended(end, response) => (end, response),
         };
         progress.outcome.note(end);
         note_attempt(router, call, &pick, end);
-        failure = answer.or(failure);
-        let again = may_repeat(router, call, &progress, end);
-        let refusal = match next_step(call.route.repeat, end, again) {
+        failure = response.or(failure);
+        let may_retry = may_repeat(router, call, &progress, end);
+        let refusal = match next_step(call.route.repeat, end, may_retry) {
             NextStep::Again => continue,
             NextStep::Relay => ForwardRefusal::AnswerLost,
             NextStep::Refuse(refusal) => refusal,
         };
-        return end_without_answer(router, caller, call, record, &progress, refusal, failure).await;
+        return end_without_response(router, caller, call, record, &progress, refusal, failure)
+            .await;
     }
 }
 
-/// Ends a request whose last attempt brought no answer. A failure that a
-/// server told in an earlier one says more than a refusal of the router's own.
-async fn end_without_answer(
+/// Ends a request whose last attempt brought no complete response. A server
+/// error from an earlier attempt is relayed in preference to a refusal, as it
+/// tells the caller more.
+async fn end_without_response(
     router: &ForwardRouter,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     record: &RequestRecord,
     progress: &RequestProgress,
     refusal: ForwardRefusal,
-    failure: Option<PlainAnswer>,
+    failure: Option<BufferedResponse>,
 ) -> bool {
-    settle(call, record, progress);
+    settle_reservation(call, record, progress);
     match failure {
-        Some(answer) if !progress.stream.begun => {
-            relay_failure(router, caller, call, record, &answer).await
+        Some(response) if !progress.stream.begun => {
+            relay_failure(router, caller, call, record, &response).await
         }
-        _ => give_up(router, caller, call, record, progress, refusal).await,
+        _ => end_with_refusal(router, caller, call, record, progress, refusal).await,
     }
 }
 
-/// Charges a request that ends without its whole answer.
-fn settle(call: &ForwardCall<'_>, record: &RequestRecord, progress: &RequestProgress) {
+/// Releases the reservation of a request that ends without a complete response,
+/// unless it is charged.
+fn settle_reservation(call: &ForwardCall<'_>, record: &RequestRecord, progress: &RequestProgress) {
     let Some(reservation) = &call.reservation else {
         return;
     };
@@ -155,7 +160,7 @@
     }
 }
 
-/// Notes how much of a stream the caller has, and how soon it began.
+/// Records how many events of a stream were sent and when the first was sent.
 fn note_stream(record: &RequestRecord, stream: &StreamProgress) {
     record.note("events", stream.events);
     if let Some(at) = stream.first_at {
@@ -163,7 +168,7 @@
     }
 }
 
-fn choose(
+fn pick_server(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
@@ -171,7 +176,7 @@
     if router.poison.refused_for(call.fingerprint).is_some() {
         return Err(ForwardRefusal::CrashesServers);
     }
-    if router.clock.left(call.ends_at) < LEAST_TIME {
+    if router.clock.left(call.deadline) < MIN_ATTEMPT_TIME {
         return Err(ForwardRefusal::TooLate);
     }
     let suspect = router.poison.suspect(call.fingerprint);
@@ -194,18 +199,18 @@
     })
 }
 
-/// Whether attempts, time and the allowance leave room for one more.
+/// Whether the limits on attempts, time and retries allow another attempt.
 fn may_repeat(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
     end: AttemptEnd,
 ) -> bool {
-    if router.clock.left(call.ends_at) < LEAST_TIME {
+    if router.clock.left(call.deadline) < MIN_ATTEMPT_TIME {
         return false;
     }
     if end == AttemptEnd::NotSent {
-        return progress.unsent < MAX_UNSENT && progress.unsent_time < UNSENT_PATIENCE;
+        return progress.unsent < MAX_UNSENT && progress.unsent_time < MAX_UNSENT_TIME;
     }
     let once = call.route.repeat == RepeatKind::Once;
     if once && end != AttemptEnd::Rejected {
@@ -216,9 +221,9 @@
         && router.take_repeat(&call.service)
 }
 
-/// Takes note of what an attempt tells of the request: a server that crashed
-/// under it, or a complete answer.
-async fn note_suspicion(
+/// Updates the suspicion of the request: clears it after a complete response,
+/// and checks for a crash if the response was lost.
+async fn update_suspicion(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
@@ -230,11 +235,11 @@
             router.poison.answered(call.fingerprint);
             false
         }
-        AttemptOutcome::Cut | AttemptOutcome::Ended(AttemptEnd::Lost, _) => true,
+        AttemptOutcome::Truncated | AttemptOutcome::Ended(AttemptEnd::Lost, _) => true,
         _ => false,
     };
     if lost {
-        note_lost(router, abandoned(call, progress, server)).await;
+        note_lost_attempt(router, abandoned_attempt(call, progress, server)).await;
     }
 }
 
@@ -267,8 +272,8 @@
     router.log.emit(draft);
 }
 
-/// Ends a request without a server's answer.
-async fn give_up(
+/// Ends a request without a server's response.
+async fn end_with_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
@@ -277,10 +282,11 @@
     refusal: ForwardRefusal,
 ) -> bool {
     if progress.stream.begun {
-        // The caller sees the missing end of the stream.
+        // The head was already sent; the caller notices that the end of the
+        // stream is missing.
         record.note("cause", refusal);
         note_stream(record, &progress.stream);
-        record.cut();
+        record.truncated();
         return false;
     }
     let spread = ClockSpan::from_millis(fastrand::u64(..RETRY_SPREAD_MS));
@@ -294,25 +300,25 @@
     };
     let base = base.unwrap_or(RETRY_NO_SERVER);
     let after = ClockSpan::from_millis(base.as_millis() + spread.as_millis());
-    let answer = RefusalAnswer {
+    let response = RefusalResponse {
         refusal,
         may_have_run: progress.outcome.may_have_run,
         retry_after: Some(after),
     };
-    refuse(router, caller, call.request, call.id, record, &answer).await
+    send_refusal(router, caller, call.request, call.id, record, &response).await
 }
 
-/// Hands a server's own failure to the caller.
+/// Relays a server's error response to the caller.
 async fn relay_failure(
     router: &ForwardRouter,
     caller: &HttpChannel,
     call: &ForwardCall<'_>,
     record: &RequestRecord,
-    answer: &PlainAnswer,
+    response: &BufferedResponse,
 ) -> bool {
     let keep = call.request.head.keep && !router.is_leaving();
     record.note("cause", "server_failed");
-    record.answered(answer.head.status);
-    let bytes = answer.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    record.answered(response.head.status);
+    let bytes = response.bytes(call.request.head.method.as_ref() == "HEAD", keep);
     caller.send(&bytes).await.is_ok() && keep
 }
--- a/crates/guavawell-forward/src/judge.rs
+++ b/crates/guavawell-forward/src/routing.rs
@@ -1,9 +1,9 @@
-//! What a configuration says of a request: its route and whose it is.
+//! Looks up the route and the organisation of a request in the configuration.
 //!
-//! Load pattern: a request waits for tokens, for a connection or for a server
-//! that does not answer, and meanwhile its route moves to another service or its
-//! key is taken away. So it is asked when the request comes, and again each time
-//! that it is sent on.
+//! A request may wait for tokens, for a connection or for a server, and
+//! meanwhile its route may move to another service or its key may be revoked.
+//! The configuration is therefore checked when the request arrives and again
+//! before each attempt.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,47 +15,48 @@
 use guavawell_core::forward::RouteEntry;
 use guavawell_core::id::OrganisationId;
 
-use crate::door::ReceivedRequest;
+use crate::callers::ReceivedRequest;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
 use crate::router::ForwardRouter;
 use crate::serve::ForwardCall;
 
-/// Retry-After of a process that has no configuration yet: its first read of
-/// the platform takes tens of milliseconds where the platform answers.
+/// Retry-After of a process without a configuration. Its first read of the
+/// platform takes tens of milliseconds if the platform responds.
 pub const RETRY_NO_CONFIG: ClockSpan = ClockSpan::from_millis(500);
 
-/// An organisation and the rank of its requests.
+/// An organisation and the priority of its requests.
 pub type RankedOrganisation = (OrganisationId, Option<u8>);
 
-/// The route of a request.
+/// Finds the route of a request.
 ///
 /// # Errors
 ///
-/// The answer to a request without one.
+/// The refusal of a request without a route.
 pub fn find_route(
     router: &ForwardRouter,
     config: &ForwardConfig,
     request: &ReceivedRequest,
-) -> Result<Arc<RouteEntry>, RefusalAnswer> {
+) -> Result<Arc<RouteEntry>, RefusalResponse> {
     let head = &request.head;
     let route = config.routes.find(&head.host, head.path());
     route
         .cloned()
-        .ok_or_else(|| unknown(router, ForwardRefusal::NoRoute))
+        .ok_or_else(|| unknown_refusal(router, ForwardRefusal::NoRoute))
 }
 
-/// The organisation whose key a request carries; `None` where none is asked for.
+/// Finds the organisation whose key a request carries; `None` if no key is
+/// required.
 ///
 /// # Errors
 ///
-/// The answer to a request without a known key.
-pub fn identify(
+/// The refusal of a request without a known key.
+pub fn authenticate(
     router: &ForwardRouter,
     config: &ForwardConfig,
     route: &RouteEntry,
     request: &ReceivedRequest,
-) -> Result<Option<RankedOrganisation>, RefusalAnswer> {
+) -> Result<Option<RankedOrganisation>, RefusalResponse> {
     if route.public || !config.needs_keys() {
         return Ok(None);
     }
@@ -65,15 +66,16 @@
         scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
     });
     let Some(key) = key else {
-        return Err(RefusalAnswer::new(ForwardRefusal::UnknownKey));
+        return Err(RefusalResponse::new(ForwardRefusal::UnknownKey));
     };
     let entry = config
         .organisation(key)
-        .ok_or_else(|| unknown(router, ForwardRefusal::UnknownKey))?;
+        .ok_or_else(|| unknown_refusal(router, ForwardRefusal::UnknownKey))?;
     Ok(Some((entry.id.clone(), entry.priority)))
 }
 
-/// Notes by which configuration a request is judged, and how old that may be.
+/// Records the version and the age of the configuration that applies to a
+/// request.
 pub fn note_config(router: &ForwardRouter, config: &ForwardConfig, record: &RequestRecord) {
     record.note("config", config.version);
     if let Some(age) = router.configs.age() {
@@ -81,22 +83,24 @@
     }
 }
 
-/// What a configuration does not know, unless a newer one may know it.
-fn unknown(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalAnswer {
+/// The refusal if the configuration does not contain the route or the key. If
+/// the configuration is overdue, a newer one may contain it, and the caller is
+/// told to retry.
+fn unknown_refusal(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalResponse {
     if router.configs.is_overdue() {
-        RefusalAnswer::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
+        RefusalResponse::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
     } else {
-        RefusalAnswer::new(refusal)
+        RefusalResponse::new(refusal)
     }
 }
 
-/// Judges a request by the configuration in force now, if another one is than
-/// when it was judged before.
+/// Checks a request against the current configuration, if that has changed
+/// since the last check.
 ///
 /// # Errors
 ///
-/// Why it is not sent on.
-pub fn judge_again(
+/// Why the request must not be sent again.
+pub fn recheck_config(
     router: &ForwardRouter,
     call: &mut ForwardCall<'_>,
     may_have_run: bool,
@@ -106,7 +110,7 @@
         return Ok(());
     };
     note_config(router, &config, record);
-    let route = route_under(router, &config, call)?;
+    let route = route_in_config(router, &config, call)?;
     if may_have_run && route.repeat == RepeatKind::Once {
         return Err(ForwardRefusal::AnswerLost);
     }
@@ -116,21 +120,22 @@
     }
     let engine = config.service(&call.service);
     call.engine = engine.and_then(|entry| entry.engine);
-    call.ends_at = call
-        .ends_at
+    call.deadline = call
+        .deadline
         .min(call.request.received_at + route.time_limit);
     call.route = route;
     call.config = config;
     Ok(())
 }
 
-/// Whether the configuration in force now allows what was chosen for a request.
+/// Whether the current configuration allows the service that was selected for
+/// the request.
 #[must_use]
 pub fn is_allowed(router: &ForwardRouter, call: &ForwardCall<'_>) -> bool {
     let Some(config) = changed_config(router, call) else {
         return true;
     };
-    let route = route_under(router, &config, call);
+    let route = route_in_config(router, &config, call);
     route.is_ok_and(|route| route.sends_to(&call.service))
 }
 
@@ -139,20 +144,22 @@
     (!Rc::ptr_eq(&config, &call.config)).then_some(config)
 }
 
-/// The route that a configuration gives a request of the same organisation.
-fn route_under(
+/// The route of the request in another configuration, if the request's
+/// organisation is still the same.
+fn route_in_config(
     router: &ForwardRouter,
     config: &ForwardConfig,
     call: &ForwardCall<'_>,
 ) -> Result<Arc<RouteEntry>, ForwardRefusal> {
-    let refusal = |answer: RefusalAnswer| answer.refusal;
+    let refusal = |answer: RefusalResponse| answer.refusal;
     let route = find_route(router, config, call.request).map_err(refusal)?;
-    let organisation = identify(router, config, &route, call.request).map_err(refusal)?;
+    let organisation = authenticate(router, config, &route, call.request).map_err(refusal)?;
     let id = |ranked: &Option<RankedOrganisation>| ranked.as_ref().map(|(id, _)| id.clone());
     if id(&organisation) == id(&call.organisation) {
         Ok(route)
     } else {
-        // Its tokens were set aside for another one: it may come again.
+        // The tokens were reserved for another organisation, so the caller has
+        // to send the request again.
         Err(ForwardRefusal::NoConfig)
     }
 }
--- a/crates/guavawell-forward/src/schedule.rs
+++ b/crates/guavawell-forward/src/schedule.rs
@@ -1,10 +1,10 @@
-//! The order in which the one thread runs its tasks.
+//! Schedules the tasks of the process on its single thread.
 //!
-//! Load pattern: an instance with a tenth of a core gets more requests than it
-//! can serve, and hundreds of tasks are ready at a time. A call to the platform
-//! takes half a dozen steps; were each of them to wait behind all requests, an
-//! instance would learn seconds late that a server leaves, and calls would run
-//! into their time limits while the platform is well.
+//! An instance with a tenth of a core can receive more requests than it can
+//! serve, so that hundreds of tasks are ready. A call to the platform takes
+//! about six steps. If each step waited for all requests, the instance would
+//! learn seconds late that a server leaves, and calls would time out although
+//! the platform responds. Control tasks therefore run first.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -13,28 +13,29 @@
 use futures_lite::future::yield_now;
 use smol::LocalExecutor;
 
-/// Steps of requests between two looks at what arrived on connections. Fewer
-/// cost a system call each; more delay what the first queue waits for.
-const STEPS_PER_LOOK: usize = 16;
+/// Request steps between two polls for I/O events. Each poll is a system call;
+/// with more steps, control tasks wait longer for their I/O.
+const STEPS_PER_POLL: usize = 16;
 
-/// Two queues of tasks on one thread.
+/// Two task queues that run on one thread.
 #[derive(Clone, Debug, Default)]
 pub struct TaskQueues {
-    /// Calls to the platform, readiness and signals: few and short, and first.
+    /// Calls to the platform, health checks and signals. They are few and
+    /// short, and run first.
     pub control: Rc<LocalExecutor<'static>>,
     /// Callers' requests.
     pub requests: Rc<LocalExecutor<'static>>,
 }
 
 impl TaskQueues {
-    /// Runs the tasks of both queues until `main` is done.
+    /// Runs the tasks of both queues until `main` has finished.
     pub async fn run<T>(&self, main: impl Future<Output = T>) -> T {
         main.or(self.run_forever()).await
     }
 
     async fn run_forever<T>(&self) -> T {
         loop {
-            if self.step() {
+            if self.run_steps() {
                 yield_now().await;
             } else {
                 self.control.tick().or(self.requests.tick()).await;
@@ -42,10 +43,10 @@
         }
     }
 
-    /// Runs a few requests' steps, each after all that is ready of the first
-    /// queue; whether more is ready.
-    fn step(&self) -> bool {
-        for _ in 0..STEPS_PER_LOOK {
+    /// Runs up to [`STEPS_PER_POLL`] request steps, and before each one all
+    /// control tasks that are ready. Returns whether more may be ready.
+    fn run_steps(&self) -> bool {
+        for _ in 0..STEPS_PER_POLL {
             while self.control.try_tick() {}
             if !self.requests.try_tick() {
                 return false;
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -1,4 +1,4 @@
-//! The way of one request: what it is, whether it may run, who runs it.
+//! Serves one request: prepares it, then sends or refuses it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,45 +15,46 @@
 use guavawell_core::poison::RequestFingerprint;
 
 use crate::budget::TokenReservation;
-use crate::door::ReceivedRequest;
+use crate::callers::ReceivedRequest;
 use crate::http::HttpChannel;
 use crate::http::wait_for_close;
 use crate::prepare::prepare;
 use crate::record::RequestRecord;
-use crate::refuse::RefusalAnswer;
+use crate::refusal::RefusalResponse;
+use crate::retry::run_attempts;
 use crate::router::ForwardRouter;
-use crate::send::run_attempts;
 
-/// A request that may be sent to a backend server.
+/// A request that was accepted for forwarding.
 #[derive(Debug)]
 pub struct ForwardCall<'a> {
-    /// What the caller sent.
+    /// The request as received.
     pub request: &'a ReceivedRequest,
-    /// The caller's id of the request.
+    /// The caller's request id.
     pub id: &'a str,
-    /// What it has in common with its repetitions under other ids.
+    /// Hash of the organisation, host, target and body. It is the same for
+    /// copies of the request with other ids.
     pub fingerprint: RequestFingerprint,
-    /// The configuration that it was judged by.
+    /// The configuration that was applied to it.
     pub config: Rc<ForwardConfig>,
     /// Its route.
     pub route: Arc<RouteEntry>,
-    /// The service that it goes to.
+    /// The service to which it is sent.
     pub service: ServiceId,
     /// The service's engines; `None` for a plain service.
     pub engine: Option<EngineFacts>,
-    /// The organisation and the rank of its requests.
+    /// The organisation and the priority of its requests.
     pub organisation: Option<(OrganisationId, Option<u8>)>,
-    /// Tokens of the request.
+    /// The request's token usage.
     pub usage: TokenUsage,
-    /// Parts of its prompt.
+    /// The parts of its prompt.
     pub shape: PromptShape,
-    /// When the caller or the operator no longer waits.
-    pub ends_at: ClockTime,
-    /// Tokens set aside.
+    /// When the caller's or the route's time limit ends.
+    pub deadline: ClockTime,
+    /// The tokens reserved for it.
     pub reservation: Option<Rc<TokenReservation>>,
 }
 
-/// Counts a request while it is held.
+/// Counts a request and its bytes while it is being served.
 struct HeldRequest<'a> {
     router: &'a ForwardRouter,
     bytes: usize,
@@ -75,9 +76,9 @@
     }
 }
 
-/// Serves a request and returns whether the connection may be used again.
+/// Serves a request. Returns whether the caller's connection may be reused.
 ///
-/// When the caller leaves, everything that was begun for it ends at once.
+/// If the caller disconnects, all work for the request is cancelled at once.
 pub async fn serve_request(
     router: &Rc<ForwardRouter>,
     channel: &mut HttpChannel,
@@ -90,11 +91,11 @@
     let stream = channel.stream();
     let caller = &*channel;
     let serve = async { serve_held(router, caller, &request, &id, &record).await };
-    let gone = async {
+    let disconnected = async {
         wait_for_close(&stream).await;
         false
     };
-    serve.or(gone).await
+    serve.or(disconnected).await
 }
 
 async fn serve_held(
@@ -107,23 +108,24 @@
     match prepare(router, request, id, record).await {
         Ok(call) => {
             let reservation = call.reservation.clone();
-            let _note = reservation.map(|reservation| SpendingNote {
+            let _recorder = reservation.map(|reservation| SpendingRecorder {
                 reservation,
                 record,
             });
             run_attempts(router, caller, call, record).await
         }
-        Err(answer) => refuse(router, caller, request, id, record, &answer).await,
+        Err(response) => send_refusal(router, caller, request, id, record, &response).await,
     }
 }
 
-/// Notes what a request spent when it ends, however it ends.
-struct SpendingNote<'a> {
+/// Records the reserved and spent tokens when a request ends, also if it is
+/// cancelled.
+struct SpendingRecorder<'a> {
     reservation: Rc<TokenReservation>,
     record: &'a RequestRecord,
 }
 
-impl Drop for SpendingNote<'_> {
+impl Drop for SpendingRecorder<'_> {
     fn drop(&mut self) {
         let (reserved, spent) = self.reservation.tokens();
         self.record.note("tokens_reserved", reserved);
@@ -131,20 +133,20 @@
     }
 }
 
-/// Sends an answer of the router's own.
-pub async fn refuse(
+/// Sends a refusal to the caller. Returns whether the connection may be reused.
+pub async fn send_refusal(
     router: &ForwardRouter,
     caller: &HttpChannel,
     request: &ReceivedRequest,
     id: &str,
     record: &RequestRecord,
-    answer: &RefusalAnswer,
+    response: &RefusalResponse,
 ) -> bool {
     let keep = request.head.keep && !router.is_leaving();
-    record.refused(answer.refusal, answer.status());
-    if let Some(span) = answer.retry_after {
+    record.refused(response.refusal, response.status());
+    if let Some(span) = response.retry_after {
         record.note("retry_after_ms", span.as_millis());
     }
     let field = (!id.is_empty()).then_some((router.settings.names.request, id));
-    answer.send(caller, field, keep).await.is_ok() && keep
+    response.send(caller, field, keep).await.is_ok() && keep
 }
--- a/crates/guavawell-forward/src/words.rs
+++ b/crates/guavawell-forward/src/server_status.rs
@@ -1,8 +1,9 @@
-//! What a server says of itself in the head of an answer, whatever request the
-//! answer is to.
+//! Reads what a server reports about itself in the head of any response: that
+//! it is leaving, or that it accepts no requests for a while.
 //!
-//! It holds for this life of the server and goes before what the platform lists:
-//! the platform hears of it later, or not at all while it is away.
+//! The report applies until the server restarts and takes precedence over the
+//! platform's entry, which is updated later, or not at all while the platform
+//! is unreachable.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
@@ -13,38 +14,39 @@
 use crate::http::ResponseHead;
 use crate::router::ForwardRouter;
 
-/// Field that says when to come back.
+/// Header field with the time for which a server accepts no requests.
 const RETRY_AFTER: &str = "retry-after";
-/// What a server that leaves says.
-const LEAVING: &str = "1";
+/// Value of the leaving field.
+const LEAVING_VALUE: &str = "1";
 
-/// Takes in what a server says in the head of an answer.
-pub fn take_words(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+/// Applies the report in a response head to the server's entry.
+pub fn apply_server_status(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     if head.status == 421 {
-        // Another server has the address; these are its words.
+        // Another server has taken over the address; the report is not this
+        // server's.
         return;
     }
     if head
         .fields
-        .has_token(router.settings.names.leaving, LEAVING)
+        .has_token(router.settings.names.leaving, LEAVING_VALUE)
     {
-        take_leaving(router, server);
+        apply_leaving(router, server);
     }
     if head.status == 503 {
-        take_pause(router, server, head);
+        apply_pause(router, server, head);
     }
 }
 
-fn take_leaving(router: &ForwardRouter, server: &ServerLife) {
+fn apply_leaving(router: &ForwardRouter, server: &ServerLife) {
     let mut servers = router.servers.borrow_mut();
-    let fresh = servers
+    let changed = servers
         .get_mut(server)
         .is_some_and(ServerEntry::say_leaving);
     drop(servers);
-    if !fresh {
+    if !changed {
         return;
     }
-    router.pool.borrow_mut().forget(server);
+    router.pool.borrow_mut().drop_connections(server);
     let silent = router.configs.age().unwrap_or_default();
     let draft = EventDraft::new("server.says_leaving")
         .field("server", server)
@@ -52,12 +54,12 @@
     router.log.emit(draft);
 }
 
-/// Takes in for how long a server that turned a request away wants no other one;
-/// of several times the longest.
-fn take_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+/// Applies the Retry-After of a server that rejected a request. The longest of
+/// several values counts.
+fn apply_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
     let texts = head.fields.all(RETRY_AFTER);
     let longest = texts
-        .map(|text| read_words(router, server, text))
+        .map(|text| parse_pause_field(router, server, text))
         .max()
         .unwrap_or_default();
     if longest == ClockSpan::ZERO {
@@ -66,10 +68,10 @@
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
     let entry = servers.get_mut(server);
-    let fresh = entry.is_some_and(|entry| entry.pause(now, longest));
+    let changed = entry.is_some_and(|entry| entry.pause(now, longest));
     drop(servers);
     metrics::counter!("guavawell_forward_server_pauses_total").increment(1);
-    if fresh {
+    if changed {
         let draft = EventDraft::new("server.pauses")
             .field("server", server)
             .field("for_ms", longest.as_millis());
@@ -77,7 +79,7 @@
     }
 }
 
-fn read_words(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
+fn parse_pause_field(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
     let text = String::from_utf8_lossy(text);
     let (pause, error) = read_pause(&text);
     if let Some(error) = error {
--- a/crates/guavawell-forward/src/leave.rs
+++ b/crates/guavawell-forward/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: announce, finish what is held, give back, exit.
+//! Shuts the process down: announces it, waits for requests, returns grants.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::router::ForwardRouter;
 use crate::router::RouterPhase;
 
-/// Pause between looks at whether all requests have ended.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of checks whether all requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Leaves: from now on the process is not ready and ends connections after
-/// their present answer; returns once the process may exit. Returns whether
-/// every request had ended.
-pub async fn leave(router: &Rc<ForwardRouter>) -> bool {
+/// Shuts down: the process is no longer ready and closes each connection after
+/// its current response. Returns when the process may exit, with whether all
+/// requests had ended.
+pub async fn shut_down(router: &Rc<ForwardRouter>) -> bool {
     let times = &router.settings.times;
     let began = router.clock.now();
     router.phase.set(RouterPhase::Leaving(began));
@@ -27,19 +27,20 @@
     let announced = async {
         Timer::after(timer_span(times.announce)).await;
     };
-    let told = async {
+    let announced_to_peers = async {
         router.budgets.announce_leaving().await;
         std::future::pending::<()>().await;
     };
-    announced.or(told).await;
-    let end = router.cut_at().unwrap_or(began);
+    announced.or(announced_to_peers).await;
+    let end = router.abort_at().unwrap_or(began);
     wait_for_requests(router, end).await;
-    // From here on callers are sent elsewhere, so that none is cut by the end.
+    // New requests are refused from here on, so that callers retry at other
+    // instances instead of being aborted.
     router.phase.set(RouterPhase::Closing(began));
-    let late = async {
+    let timeout = async {
         Timer::after(timer_span(times.give_back)).await;
     };
-    router.budgets.give_back().or(late).await;
+    router.budgets.give_back().or(timeout).await;
     wait_for_requests(router, end).await;
     let finished = router.held_requests.get() == 0;
     let draft = EventDraft::new("process.left").field("unfinished", router.held_requests.get());
@@ -47,9 +48,9 @@
     finished
 }
 
-/// Waits until no request is held, or until `end`.
+/// Waits until no request is being served, for `end` at the latest.
 async fn wait_for_requests(router: &ForwardRouter, end: ClockTime) {
     while router.held_requests.get() > 0 && router.clock.now() < end {
-        Timer::after(TICK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/guavawell-forward/src/events.rs
+++ b/crates/guavawell-forward/src/sse.rs
@@ -1,41 +1,41 @@
-//! Events of a stream: where one ends, and what its id is.
+//! Finds the boundaries and ids of server-sent events.
 
-/// Counts the whole events in received bytes.
+/// The complete events in received bytes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventScan {
-    /// Bytes up to the end of the last whole event.
-    pub whole: usize,
-    /// Whole events in them.
+    /// Number of bytes up to the end of the last complete event.
+    pub complete_bytes: usize,
+    /// Number of complete events.
     pub count: u64,
-    /// The id of the first whole event, if it has one.
+    /// The id of the first complete event that has one.
     pub first_id: Option<u64>,
-    /// The id of the last whole event that has one.
+    /// The id of the last complete event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Finds the whole events at the beginning of `bytes`. An event ends with an
-/// empty line.
+/// Finds the complete events at the beginning of `bytes`. An empty line ends an
+/// event.
 #[must_use]
 pub fn scan_events(bytes: &[u8]) -> EventScan {
     let mut scan = EventScan::default();
     let mut line_start = 0;
-    let mut has_lines = false;
+    let mut in_event = false;
     let mut id = None;
     while let Some(length) = bytes[line_start..].iter().position(|byte| *byte == b'\n') {
         let line = bytes[line_start..line_start + length].trim_ascii_end();
         line_start += length + 1;
         if !line.is_empty() {
-            has_lines = true;
+            in_event = true;
             id = event_id(line).or(id);
             continue;
         }
-        if has_lines {
+        if in_event {
             scan.count += 1;
             scan.first_id = scan.first_id.or(id);
             scan.last_id = id.or(scan.last_id);
         }
-        scan.whole = line_start;
-        has_lines = false;
+        scan.complete_bytes = line_start;
+        in_event = false;
         id = None;
     }
     scan
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -1,4 +1,5 @@
-//! Tries that stay open while later ones are begun.
+//! Earlier attempts of a query stay open while later ones are started, so that
+//! a late answer on a slow link still counts.
 
 use std::time::Duration;
 
@@ -6,10 +7,10 @@
 use guavawell_forward::http::OpenTry;
 use smol::Timer;
 
-/// Longer than any test waits.
+/// Longer than any test runs.
 const NEVER: Duration = Duration::from_secs(600);
 
-/// A patience that is over at once.
+/// Does not wait at all.
 const NONE: Duration = Duration::ZERO;
 
 type NumberTry = OpenTry<'static, u32, &'static str>;
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn the_newest_try_that_fails_is_told_at_once_and_an_open_one_still_counts() {
+fn a_failure_of_the_newest_try_is_returned_at_once_and_an_open_one_still_counts() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let late: NumberTry = Box::pin(async {
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn an_earlier_try_that_fails_is_not_the_end() {
+fn a_failure_of_an_earlier_try_is_ignored() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let later: NumberTry = Box::pin(async {
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_failure_that_leaves_no_try_is_told_at_once() {
+fn a_failure_without_other_open_tries_is_returned_at_once() {
     smol::block_on(async {
         let mut tries = OpenTries::new(3);
         let told = tries.first_answer(failed(), NEVER).await;
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn an_answer_ends_the_other_tries_and_the_oldest_gives_way() {
+fn an_answer_cancels_all_other_tries_and_a_new_try_replaces_the_oldest() {
     smol::block_on(async {
         let mut tries = OpenTries::new(2);
         let slow = |number, millis| -> NumberTry {
@@ -88,7 +89,7 @@
         };
         assert_eq!(tries.first_answer(slow(1, 10), NONE).await, None);
         assert_eq!(tries.first_answer(silent(), NONE).await, None);
-        // The first one has given way to this one.
+        // The first attempt was dropped when this one was started.
         assert_eq!(tries.first_answer(slow(3, 40), NEVER).await, Some(Ok(3)));
         assert_eq!(
             tries.first_answer(failed(), NEVER).await,
