--- a/crates/guavawell-core/src/grant/answer.rs
+++ b/crates/guavawell-core/src/grant/answer.rs
@@ -1,4 +1,4 @@
-//! What a reservation is answered, and what it was decided by.
+//! Answers to reservations, and the figures that explain them.
 
 use std::str::FromStr;
 
@@ -11,28 +11,30 @@
 pub enum ReserveAnswer {
     /// The tokens are reserved.
     Granted,
-    /// The tokens are reserved, so many of them from what others lent.
+    /// The tokens are reserved, and this many of them are borrowed.
     GrantedLoan(u64),
-    /// The grant covers it, the line does not yet; by itself it will after
-    /// this time. Writing the line helps at once.
+    /// The grant covers the request, but the spend limit does not. It will
+    /// after this time; a write of the limit row raises it at once.
     Locked(ClockSpan),
-    /// The grant does not cover it. Asking for more may help.
+    /// The grant does not cover the request. A larger grant may help.
     Short,
-    /// What is left does not cover it unless requests that run now spend less
-    /// than their most. Asking for more does not help.
+    /// What is left covers the request only if running requests spend less than
+    /// they reserved. A larger grant does not help.
     Drained,
-    /// What is left does not cover it whatever the requests that run now spend.
-    /// Ended processes may have spent less than is reckoned, which nobody can
-    /// prove: only a higher payment helps.
+    /// What is left does not cover the request, whatever running requests
+    /// spend. Ended processes may have spent less than they are charged for,
+    /// but nobody can prove it: only a higher payment helps.
     Frozen,
-    /// What was paid does not cover it, whatever others give back.
+    /// What was paid does not cover the request, even if everything unspent is
+    /// returned.
     Exhausted,
-    /// Nothing is known of this budget yet.
+    /// The state of the budget is not known, or this process makes no
+    /// reservations yet or any more.
     Unknown,
 }
 
 impl ReserveAnswer {
-    /// The name in logs and between instances.
+    /// The name used in logs and between instances.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -47,17 +49,17 @@
         }
     }
 
-    /// Whether the budget covers the request at no instance: neither asking for
-    /// more nor another holder helps.
+    /// Whether no instance can cover the request, so that neither a larger
+    /// grant nor another holder helps.
     #[must_use]
     pub const fn is_used_up(self) -> bool {
         matches!(self, Self::Drained | Self::Frozen | Self::Exhausted)
     }
 }
 
-/// A name that is no cause of a refusal.
+/// A text that names no cause of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no cause of a refusal has this name")]
+#[error("unknown cause of a refusal")]
 pub struct UnknownCause;
 
 impl FromStr for ReserveAnswer {
@@ -77,23 +79,23 @@
     }
 }
 
-/// What a reservation was decided by, for logs. Counts are tokens.
+/// The figures behind the answer to a reservation, for logs. Counts are tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetFacts {
-    /// Paid for in all.
+    /// Paid for in total.
     pub paid: u64,
-    /// Spent by ended boots or granted to living ones, by the row.
+    /// Charged for ended boots or granted to running ones, according to the row.
     pub committed: u64,
-    /// Spent at most by ended boots, by the row.
+    /// The most that ended boots can have spent, according to the row.
     pub closed: u64,
     /// Granted to this boot.
     pub grant: u64,
     /// Reserved or spent by this boot.
     pub used: u64,
-    /// The lowest line in force.
+    /// The lowest spend limit that may be in force.
     pub allowed: u64,
-    /// Version of the row that says so.
+    /// Version of the budget row.
     pub row: u64,
-    /// Time since the row was last written or read here.
+    /// Time since this boot last sent a write of the row.
     pub row_age: ClockSpan,
 }
--- a/crates/guavawell-core/src/grant/follow.rs
+++ b/crates/guavawell-core/src/grant/follow.rs
@@ -1,82 +1,85 @@
-//! How much of what other instances write to budgets' rows one reads.
+//! Limits how many changes of budget rows an instance reads.
 //!
 //! Load pattern: 79 instances write the rows of 24 organisations, and each
-//! change of a row comes whole: more than 900 KB for the 2.5 s between two
-//! questions, as much as a link of 10 Mbit/s carries in 800 ms. An instance that
-//! asks for every change since its last whole answer never gets one within the
-//! time limit of a call, asks for ever more, and its own questions fill its link:
-//! 65 of 79 instances read 900 KB in 800 ms again and again.
+//! change contains the whole row. This makes more than 900 KB in the 2.5 s
+//! between two polls, for which a link of 10 Mbit/s takes 800 ms. An instance
+//! that polls for every change since its last complete answer never gets an
+//! answer within the time limit of a call, asks for more each time, and
+//! saturates its own link: 65 of 79 instances read 900 KB in 800 ms again and
+//! again.
 //!
-//! What an instance does not read shows when a write of its own is turned down.
-//! So it reads as large a part of the time as its link carries with ease: a
-//! window before each question, which halves when an answer takes long and
-//! doubles again when answers are quick.
+//! An instance learns of a change that it did not read when one of its own
+//! writes is rejected. So it reads only as much as its link can carry easily:
+//! the changes in a window of time before each poll. The window is halved when
+//! an answer is slow and doubled when answers are fast.
 
 use crate::clock::ClockSpan;
 
-/// Bounds of the part that is read.
+/// When the window shrinks, and how far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowSettings {
-    /// Time beyond the store's usual answer that an answer may take: a tenth of
-    /// the time between two questions of a fleet of 79 instances.
-    pub most_extra: ClockSpan,
-    /// The smallest window: changes of two or three rows in such a fleet.
-    pub least_window: ClockSpan,
+    /// Accepted latency of an answer beyond the store's usual one: a tenth of
+    /// the poll interval in a fleet of 79 instances.
+    pub max_extra: ClockSpan,
+    /// Length of the smallest window: changes of two or three rows in such a
+    /// fleet.
+    pub min_window: ClockSpan,
 }
 
 impl Default for FollowSettings {
     fn default() -> Self {
         Self {
-            most_extra: ClockSpan::from_millis(150),
-            least_window: ClockSpan::from_millis(30),
+            max_extra: ClockSpan::from_millis(150),
+            min_window: ClockSpan::from_millis(30),
         }
     }
 }
 
-/// The part of the time whose changes are read.
+/// The window of time before each poll whose changes are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowWindow {
     settings: FollowSettings,
-    /// The time before a question whose changes it asks for; as long as the
-    /// time between two questions or longer, everything is read.
+    /// Length of the window. If it is at least the poll interval, all changes
+    /// are read.
     window: ClockSpan,
 }
 
 impl FollowWindow {
-    /// The smallest window: right after a start of the whole fleet the changes
-    /// are most.
+    /// Starts with the smallest window: right after the whole fleet starts,
+    /// rows change most often.
     #[must_use]
     pub const fn new(settings: FollowSettings) -> Self {
         Self {
-            window: settings.least_window,
+            window: settings.min_window,
             settings,
         }
     }
 
-    /// The part of the time between two questions, `interval`, that is passed
-    /// over.
+    /// The part of the poll `interval` whose changes are not read.
     #[must_use]
-    pub const fn passed_over(&self, interval: ClockSpan) -> ClockSpan {
+    pub const fn skipped_span(&self, interval: ClockSpan) -> ClockSpan {
         ClockSpan::from_millis(interval.as_millis().saturating_sub(self.window.as_millis()))
     }
 
-    /// A question was answered, `extra` later than the store usually answers.
+    /// Adjusts the window after an answer that took `extra` longer than the
+    /// store usually takes.
     pub fn answered(&mut self, extra: ClockSpan, interval: ClockSpan) {
-        let most = self.settings.most_extra;
+        let max_extra = self.settings.max_extra;
         let window = self.window.as_millis();
-        let next = if extra > most {
+        let next = if extra > max_extra {
             window / 2
-        } else if extra.as_millis() <= most.as_millis() / 3 {
-            // One step beyond what is needed, for longer pauses to come.
+        } else if extra.as_millis() <= max_extra.as_millis() / 3 {
+            // Up to twice the interval, to cover longer gaps between polls.
             (window * 2).min(interval.as_millis() * 2)
         } else {
             window
         };
-        self.window = ClockSpan::from_millis(next).max(self.settings.least_window);
+        self.window = ClockSpan::from_millis(next).max(self.settings.min_window);
     }
 
-    /// A question was not answered in time: its answer may have been too long.
+    /// Shrinks the window after a poll without an answer in time: the answer
+    /// may have been too large.
     pub const fn failed(&mut self) {
-        self.window = self.settings.least_window;
+        self.window = self.settings.min_window;
     }
 }
--- a/crates/guavawell-core/src/grant/holders.rs
+++ b/crates/guavawell-core/src/grant/holders.rs
@@ -1,15 +1,18 @@
-//! Which instances hold an organisation's tokens.
+//! Selects the instances that hold an organisation's tokens.
 //!
-//! Load pattern: a hundred instances start at one moment, each with requests of
-//! all organisations. Were all of them to hold tokens of each, a row would have
-//! a hundred writers, and each write that stands turns those of all others down;
-//! what callers need would lie in a hundred small pieces.
+//! Load pattern: a hundred instances start at the same moment, each with
+//! requests of all organisations. If all of them held tokens of each
+//! organisation, a row would have a hundred writers, and each write that is
+//! applied causes those of all others to be rejected. The tokens that callers
+//! need would be split into a hundred small amounts.
 //!
-//! So in a large fleet a few instances of each availability zone hold tokens of
-//! an organisation, ranked alike by all that know the same fleet. The others
-//! ask them for each request. A zone that is cut off has holders of its own.
-//! The ranking gives no right: whoever is asked in a holder's place becomes
-//! one, and the rows of the store alone decide what may be spent.
+//! So in a large fleet a few instances in each availability zone hold an
+//! organisation's tokens. Instances that know the same fleet select the same
+//! holders. The others ask a holder for a loan for each request. An
+//! availability zone that is cut off has holders of its own. Being selected
+//! gives no right to spend: an instance that is asked in place of a holder
+//! becomes a stand-in, which holds tokens for a while, and only the rows in the
+//! store decide what may be spent.
 
 use crate::clock::ClockSpan;
 use crate::id::InstanceId;
@@ -17,29 +20,30 @@
 use crate::id::ZoneId;
 use crate::instance::owners;
 
-/// How many instances hold tokens of an organisation.
+/// How many instances hold an organisation's tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderSettings {
-    /// Fleets of up to so many instances hold tokens everywhere: their rows are
-    /// short, and no request depends on a second instance.
-    pub everywhere: usize,
+    /// Largest fleet in which every instance holds tokens of every
+    /// organisation. Its rows are short, and no request depends on a second
+    /// instance.
+    pub all_hold_up_to: usize,
     /// Holders in each availability zone of a larger fleet.
-    pub each_zone: usize,
-    /// How long an instance that was asked in a holder's place stays one.
-    pub stand_in: ClockSpan,
+    pub holders_per_zone: usize,
+    /// How long an instance remains a stand-in after it was last asked.
+    pub stand_in_time: ClockSpan,
 }
 
 impl Default for HolderSettings {
     fn default() -> Self {
         Self {
-            everywhere: 16,
-            each_zone: 1,
-            stand_in: ClockSpan::from_millis(6_000),
+            all_hold_up_to: 16,
+            holders_per_zone: 1,
+            stand_in_time: ClockSpan::from_millis(6_000),
         }
     }
 }
 
-/// An instance of the fleet and where it is.
+/// An instance of the fleet and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetMember {
     /// The instance.
@@ -48,7 +52,7 @@
     pub zone: ZoneId,
 }
 
-/// The fleet as one instance knows it.
+/// Ranks the instances that one instance knows, for each organisation.
 #[derive(Clone, Debug, Default)]
 pub struct HolderRanking {
     settings: HolderSettings,
@@ -57,7 +61,7 @@
 }
 
 impl HolderRanking {
-    /// A ranking that knows nobody yet.
+    /// Creates a ranking without instances.
     #[must_use]
     pub const fn new(settings: HolderSettings) -> Self {
         Self {
@@ -66,7 +70,7 @@
         }
     }
 
-    /// The fleet's instances, this one included.
+    /// Sets the instances of the fleet, including this one.
     pub fn set_members(&mut self, mut members: Vec<FleetMember>) {
         members.sort_by(|one, other| one.instance.cmp(&other.instance));
         self.members = members;
@@ -74,55 +78,60 @@
 
     /// Whether every instance holds tokens of every organisation.
     #[must_use]
-    pub fn is_everywhere(&self) -> bool {
-        self.members.len() <= self.settings.everywhere
+    pub fn all_hold(&self) -> bool {
+        self.members.len() <= self.settings.all_hold_up_to
     }
 
-    /// Holders of an organisation's tokens in the whole fleet, about.
+    /// Approximate number of holders of an organisation's tokens in the whole
+    /// fleet.
     #[must_use]
-    pub fn expected(&self) -> usize {
+    pub fn expected_holders(&self) -> usize {
         let mut zones: Vec<&ZoneId> = self.members.iter().map(|member| &member.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        zones.len() * self.settings.each_zone
+        zones.len() * self.settings.holders_per_zone
     }
 
-    /// Whether an instance holds tokens of an organisation.
+    /// Whether an instance is selected to hold tokens of an organisation.
     #[must_use]
     pub fn is_holder(&self, instance: &InstanceId, organisation: &OrganisationId) -> bool {
-        if self.is_everywhere() {
+        if self.all_hold() {
             return true;
         }
         let Some(zone) = self.zone(instance) else {
             return false;
         };
-        let first = self.ranked(zone, organisation);
-        let mut holders = first.into_iter().take(self.settings.each_zone);
+        let first = self.ranked_in_zone(zone, organisation);
+        let mut holders = first.into_iter().take(self.settings.holders_per_zone);
         holders.any(|holder| holder == instance)
     }
 
-    /// The instances that `asker` asks for tokens, in this order: those of its
-    /// own zone, then the best of each other zone.
+    /// The instances that `borrower` asks for loans, in this order: those of its
+    /// own availability zone, then the first-ranked one of every other zone.
     #[must_use]
-    pub fn order(&self, asker: &InstanceId, organisation: &OrganisationId) -> Vec<InstanceId> {
-        let own = self.zone(asker);
+    pub fn order(&self, borrower: &InstanceId, organisation: &OrganisationId) -> Vec<InstanceId> {
+        let own = self.zone(borrower);
         let key = organisation.as_str().as_bytes();
         let all = owners(self.members.iter().map(|member| &member.instance), key);
-        let (near, far): (Vec<_>, Vec<_>) = all
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) = all
             .into_iter()
-            .filter(|instance| *instance != asker)
+            .filter(|instance| *instance != borrower)
             .partition(|instance| self.zone(instance) == own);
         let mut seen: Vec<&ZoneId> = Vec::new();
-        let best = far.into_iter().filter(|instance| {
+        let first_of_zone = other_zones.into_iter().filter(|instance| {
             let zone = self.zone(instance);
-            let fresh = zone.is_some_and(|zone| !seen.contains(&zone));
+            let is_first = zone.is_some_and(|zone| !seen.contains(&zone));
             seen.extend(zone);
-            fresh
+            is_first
         });
-        near.into_iter().chain(best).cloned().collect()
+        same_zone
+            .into_iter()
+            .chain(first_of_zone)
+            .cloned()
+            .collect()
     }
 
-    fn ranked(&self, zone: &ZoneId, organisation: &OrganisationId) -> Vec<&InstanceId> {
+    fn ranked_in_zone(&self, zone: &ZoneId, organisation: &OrganisationId) -> Vec<&InstanceId> {
         let members = self.members.iter().filter(|member| member.zone == *zone);
         let key = organisation.as_str().as_bytes();
         owners(members.map(|member| &member.instance), key)
--- /dev/null
+++ b/crates/guavawell-core/src/grant/ledger.rs
@@ -0,0 +1,499 @@
+//! The ledger of one boot: reservations and settlements of all budgets, and the
+//! state of its rows.
+
+use crate::clock::ClockSpan;
+use crate::clock::ClockTime;
+use crate::grant::BudgetFacts;
+use crate::grant::BudgetRow;
+use crate::grant::FleetMember;
+use crate::grant::HolderRanking;
+use crate::grant::HolderSettings;
+use crate::grant::LimitRow;
+use crate::grant::RateMeter;
+use crate::grant::ReserveAnswer;
+use crate::grant::StartBound;
+use crate::grant::StoreClock;
+use crate::grant::TrackedRow;
+use crate::grant::loan::OpenLoan;
+use crate::id::InstanceId;
+use crate::id::OrganisationId;
+
+/// How many unspent tokens (stock) an instance holds, and how fast its spend
+/// limits release them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LedgerSettings {
+    /// Stock, as seconds of recent demand. Covers an outage of the store of
+    /// nine seconds while demand rises to two and a half times the recent one.
+    pub stock_seconds: f64,
+    /// Fraction of its equal share of what is left that an instance holds
+    /// without demand of its own, in place of demand that was not seen yet. It
+    /// decreases as more tokens are granted.
+    pub idle_fraction: f64,
+    /// Largest fraction that an instance holds of its demand-based share of
+    /// what is left. The rest stays free for sudden needs.
+    pub max_stock_fraction: f64,
+    /// The early rate of all spend limits, as a multiple of the fleet's recent
+    /// demand. A crash freezes what it releases until the next boot.
+    pub early_rate_factor: f64,
+    /// The late rate, as a multiple of recent demand.
+    pub late_rate_factor: f64,
+    /// The late rate releases the whole stock in this many seconds or less.
+    pub late_drain_seconds: f64,
+    /// Time until the late rate applies: longer than a restart takes.
+    pub late_rate_after: ClockSpan,
+    /// The burst of all spend limits, as seconds of the fleet's recent demand,
+    /// so that the first requests of an outage need not wait.
+    pub burst_seconds: f64,
+    /// Fewest instances that share the burst. Each covers a typical request, so
+    /// a budget with few requests has few such instances.
+    pub min_early_lenders: usize,
+    /// Largest fraction of its stock that an instance adds to the burst.
+    pub max_burst_fraction: f64,
+    /// Store latency above which an instance releases a typical request on its
+    /// own. Answers take 15 to 19 ms at 0.25 of a core, and 19 to 90 ms at 0.12
+    /// of a core behind a link of 10 Mbit/s.
+    pub slow_store_latency: ClockSpan,
+    /// Largest fraction of its stock that such a request may take.
+    pub solo_burst_fraction: f64,
+    /// Smallest such burst, as seconds of the instance's early rate.
+    pub solo_burst_seconds: f64,
+    /// Fewest instances that the fleet is assumed to have.
+    pub instances: usize,
+    /// Age above which a limit row is rewritten if tokens were spent.
+    pub limit_max_age: ClockSpan,
+    /// Added to that age for each instance, so that a large fleet writes no
+    /// more than a small one: at most 125 limit rows per second.
+    pub limit_age_per_instance: ClockSpan,
+    /// Age above which an entry in a budget row is brought up to date.
+    pub entry_max_age: ClockSpan,
+    /// Added to that age for each writer: concurrent writes of one row often
+    /// conflict.
+    pub entry_age_per_writer: ClockSpan,
+    /// How long a shortage is reported to other instances.
+    pub shortage_max_age: ClockSpan,
+    /// Which instances hold tokens.
+    pub holders: HolderSettings,
+}
+
+impl Default for LedgerSettings {
+    fn default() -> Self {
+        Self {
+            stock_seconds: 24.0,
+            idle_fraction: 0.3,
+            max_stock_fraction: 0.75,
+            early_rate_factor: 0.6,
+            late_rate_factor: 3.0,
+            late_drain_seconds: 7.0,
+            late_rate_after: ClockSpan::from_millis(1_500),
+            burst_seconds: 0.5,
+            min_early_lenders: 1,
+            max_burst_fraction: 0.35,
+            slow_store_latency: ClockSpan::from_millis(25),
+            solo_burst_fraction: 0.18,
+            solo_burst_seconds: 0.3,
+            instances: 3,
+            limit_max_age: ClockSpan::from_millis(150),
+            limit_age_per_instance: ClockSpan::from_millis(8),
+            entry_max_age: ClockSpan::from_millis(1_000),
+            entry_age_per_writer: ClockSpan::from_millis(40),
+            shortage_max_age: ClockSpan::from_millis(2_000),
+            holders: HolderSettings::default(),
+        }
+    }
+}
+
+/// One budget as this boot knows it.
+#[derive(Clone, Debug)]
+pub(super) struct BudgetState {
+    pub(super) organisation: OrganisationId,
+    pub(super) row: TrackedRow<BudgetRow>,
+    /// What was paid, and the newest configuration version that says so.
+    pub(super) paid: (u64, u64),
+    /// Reserved or spent by this boot.
+    pub(super) used: u64,
+    /// Part of `used` that was spent; the rest is reserved.
+    pub(super) settled: u64,
+    /// Tokens borrowed and not reserved by a request. They are spent in
+    /// addition to the grant.
+    pub(super) borrowed: u64,
+    /// Loans that have not been reported back to their lenders.
+    pub(super) loans: Vec<OpenLoan>,
+    /// When borrowed tokens were last received, reserved or released.
+    pub(super) loans_changed_at: ClockTime,
+    /// Tokens lent to other instances and not reported back.
+    pub(super) lent: u64,
+    /// Whether this instance holds tokens by its rank.
+    pub(super) ranked: bool,
+    /// When it last became a stand-in.
+    pub(super) stand_in_since: Option<ClockTime>,
+    /// Tokens of the last request that others declined a loan for, and when.
+    pub(super) declined: Option<(u64, ClockTime)>,
+    /// Tokens that requests wait for now.
+    pub(super) waiting: u64,
+    /// Tokens of the last request that the grant did not cover, and when.
+    pub(super) shortage: Option<(u64, ClockTime)>,
+    pub(super) demand: RateMeter,
+    /// When a write of the budget row was last sent.
+    pub(super) written_at: ClockTime,
+}
+
+/// The ledger of one boot of one instance.
+#[derive(Clone, Debug)]
+pub struct GrantLedger {
+    pub(super) instance: InstanceId,
+    pub(super) boot: u64,
+    pub(super) nonce: u64,
+    pub(super) settings: LedgerSettings,
+    pub(super) clock: StoreClock,
+    /// When the previous boot had ended at the latest.
+    pub(super) previous_end: StartBound,
+    /// Usual latency of the store.
+    pub(super) store_latency: ClockSpan,
+    pub(super) limits: TrackedRow<LimitRow>,
+    pub(super) limits_sent_at: ClockTime,
+    /// Sorted by organisation.
+    pub(super) budgets: Vec<BudgetState>,
+    pub(super) ranking: HolderRanking,
+    pub(super) leaving: bool,
+}
+
+impl GrantLedger {
+    /// Creates an empty ledger. `nonce` is random. The process had started by
+    /// the local time `started`, so the previous one of the instance had ended.
+    #[must_use]
+    pub fn new(
+        instance: InstanceId,
+        nonce: u64,
+        started: ClockTime,
+        settings: LedgerSettings,
+    ) -> Self {
+        Self {
+            instance,
+            boot: 0,
+            nonce,
+            settings,
+            clock: StoreClock::default(),
+            previous_end: StartBound::new(started),
+            store_latency: ClockSpan::default(),
+            limits: TrackedRow::default(),
+            limits_sent_at: ClockTime::default(),
+            budgets: Vec::new(),
+            ranking: HolderRanking::new(settings.holders),
+            leaving: false,
+        }
+    }
+
+    /// The number of this boot; 0 until the store has confirmed it.
+    #[must_use]
+    pub const fn boot(&self) -> u64 {
+        self.boot
+    }
+
+    /// Records the store's time from the answer to a call that was sent at the
+    /// local time `asked`.
+    pub fn record_store_time(&mut self, store: ClockTime, asked: ClockTime, now: ClockTime) {
+        self.clock.tell(store, now);
+        self.previous_end.tell(store, asked);
+    }
+
+    /// Sets the usual latency of the store.
+    pub fn set_store_latency(&mut self, latency: ClockSpan) {
+        self.store_latency = latency;
+    }
+
+    /// Sets what an organisation paid according to a configuration version.
+    pub fn set_paid(&mut self, organisation: &OrganisationId, paid: u64, version: u64) {
+        let state = self.budget_mut(organisation);
+        if version >= state.paid.1 {
+            state.paid = (paid, version);
+        }
+    }
+
+    /// All organisations in the ledger.
+    pub fn organisations(&self) -> impl Iterator<Item = &OrganisationId> {
+        self.budgets.iter().map(|state| &state.organisation)
+    }
+
+    /// Reserves the most that a request may spend.
+    pub fn reserve(
+        &mut self,
+        organisation: &OrganisationId,
+        tokens: u64,
+        now: ClockTime,
+    ) -> ReserveAnswer {
+        let Some(index) = self.budget_index(organisation) else {
+            return ReserveAnswer::Unknown;
+        };
+        let state = &mut self.budgets[index];
+        // Borrowed tokens go first: they would be lost with this process.
+        let lent = state.borrowed.min(tokens);
+        if lent == tokens {
+            state.borrowed -= lent;
+            state.loans_changed_at = now;
+            state.demand.add(tokens, now);
+            return ReserveAnswer::GrantedLoan(lent);
+        }
+        let state = &self.budgets[index];
+        let Some(time) = self.clock.now(now) else {
+            return ReserveAnswer::Unknown;
+        };
+        if self.boot == 0 || self.leaving || !state.row.is_read() {
+            return ReserveAnswer::Unknown;
+        }
+        let own = tokens - lent;
+        let need = state.used + own;
+        if need > self.grant(state) {
+            let answer = self.classify_shortage(state, own);
+            self.budgets[index].shortage = Some((own, now));
+            return answer;
+        }
+        let allowed = self
+            .limits
+            .min_of(|row| self.own_allowance(row, organisation, time));
+        if need > allowed {
+            return ReserveAnswer::Locked(self.unlock_time(organisation, need, time));
+        }
+        let state = &mut self.budgets[index];
+        state.used += own;
+        state.borrowed -= lent;
+        state.demand.add(tokens, now);
+        if lent > 0 {
+            state.loans_changed_at = now;
+            ReserveAnswer::GrantedLoan(lent)
+        } else {
+            ReserveAnswer::Granted
+        }
+    }
+
+    /// Whether this boot has started and every budget that it holds by rank was
+    /// read.
+    #[must_use]
+    pub fn is_open(&self) -> bool {
+        let mut held = self.budgets.iter().filter(|state| state.ranked);
+        self.boot > 0 && held.all(|state| state.row.is_read())
+    }
+
+    /// Sets the instances of the fleet, including this one, as the store's rows
+    /// list them.
+    pub fn set_fleet(&mut self, members: Vec<FleetMember>) {
+        self.ranking.set_members(members);
+        for state in &mut self.budgets {
+            state.ranked = self.ranking.is_holder(&self.instance, &state.organisation);
+        }
+    }
+
+    /// Whether this instance holds tokens of an organisation, by its rank or as
+    /// a stand-in.
+    #[must_use]
+    pub fn is_holder(&self, organisation: &OrganisationId, now: ClockTime) -> bool {
+        let index = self.budget_index(organisation);
+        index.is_some_and(|index| self.holds(&self.budgets[index], now))
+    }
+
+    pub(super) fn holds(&self, state: &BudgetState, now: ClockTime) -> bool {
+        let stand_in_time = self.settings.holders.stand_in_time;
+        let is_stand_in = state
+            .stand_in_since
+            .is_some_and(|at| now.since(at) < stand_in_time);
+        state.ranked || is_stand_in
+    }
+
+    /// Makes this instance hold tokens for a while, because it was asked for
+    /// some or because no holder answers it.
+    pub fn become_stand_in(&mut self, organisation: &OrganisationId, now: ClockTime) {
+        self.budget_mut(organisation).stand_in_since = Some(now);
+    }
+
+    /// The instances to ask for a loan, in this order.
+    #[must_use]
+    pub fn holder_order(&self, organisation: &OrganisationId) -> Vec<InstanceId> {
+        self.ranking.order(&self.instance, organisation)
+    }
+
+    /// The figures that decide the next reservation.
+    #[must_use]
+    pub fn facts(&self, organisation: &OrganisationId, now: ClockTime) -> BudgetFacts {
+        let Some(index) = self.budget_index(organisation) else {
+            return BudgetFacts::default();
+        };
+        let state = &self.budgets[index];
+        let time = self.clock.now(now).unwrap_or_default();
+        let row = state.row.known();
+        BudgetFacts {
+            paid: row.map_or(state.paid.0, |row| self.paid(state, row)),
+            committed: row.map_or(0, BudgetRow::committed),
+            closed: row.map_or(0, |row| row.closed),
+            grant: self.grant(state),
+            used: state.used,
+            allowed: self
+                .limits
+                .min_of(|row| self.own_allowance(row, organisation, time)),
+            row: state.row.version(),
+            row_age: now.since(state.written_at),
+        }
+    }
+
+    /// Replaces a reservation by what was spent, which is never more.
+    pub fn settle(&mut self, organisation: &OrganisationId, reserved: u64, spent: u64) {
+        let state = self.budget_mut(organisation);
+        let spent = spent.min(reserved);
+        state.used -= reserved - spent;
+        state.settled += spent;
+    }
+
+    /// Adds tokens that a request waits for if `begins`, else removes them.
+    pub fn wait(&mut self, organisation: &OrganisationId, tokens: u64, begins: bool) {
+        let state = self.budget_mut(organisation);
+        state.waiting = if begins {
+            state.waiting + tokens
+        } else {
+            state.waiting.saturating_sub(tokens)
+        };
+    }
+
+    /// The grant in force.
+    #[must_use]
+    pub fn granted(&self, organisation: &OrganisationId) -> u64 {
+        let index = self.budget_index(organisation);
+        index.map_or(0, |index| self.grant(&self.budgets[index]))
+    }
+
+    /// An age that grows with the number of writers.
+    pub(super) fn scaled_age(base: ClockSpan, each: ClockSpan, writers: usize) -> ClockSpan {
+        ClockSpan::from_millis(base.as_millis() + each.as_millis() * writers as u64)
+    }
+
+    /// Instances that write the row of one budget.
+    #[must_use]
+    pub fn row_writers(&self) -> usize {
+        if self.ranking.all_hold() {
+            self.settings.instances
+        } else {
+            self.ranking.expected_holders()
+        }
+    }
+
+    /// Raises the assumed number of instances in the fleet.
+    pub fn set_instances(&mut self, instances: usize) {
+        self.settings.instances = self.settings.instances.max(instances);
+    }
+
+    /// The assumed number of instances in the fleet.
+    #[must_use]
+    pub const fn instances(&self) -> usize {
+        self.settings.instances
+    }
+
+    /// Stops reservations because the process is leaving.
+    pub fn leave(&mut self) {
+        self.leaving = true;
+    }
+
+    pub(super) fn grant(&self, state: &BudgetState) -> u64 {
+        let own = |row: &BudgetRow| {
+            let entry = row.holder(&self.instance, self.boot);
+            entry.map_or(0, |entry| entry.grant)
+        };
+        let granted = state.row.min_of(own);
+        let Some(row) = state.row.known() else {
+            return granted;
+        };
+        // Spending stops when the payment is lowered below the commitments.
+        let lowered = state.paid.1 > row.paid_version && state.paid.0 < row.committed();
+        if lowered {
+            granted.min(state.used)
+        } else {
+            granted
+        }
+    }
+
+    /// Why the budget does not cover a request beyond the grant.
+    pub(super) fn classify_shortage(&self, state: &BudgetState, tokens: u64) -> ReserveAnswer {
+        let Some(row) = state.row.known() else {
+            return ReserveAnswer::Short;
+        };
+        let others = || row.holders.iter().filter(|entry| !self.is_own(entry));
+        let settled: u64 = others().map(|entry| entry.settled).sum();
+        let used: u64 = others().map(|entry| entry.used).sum();
+        let paid = self.paid(state, row);
+        if row.settled + settled + state.settled + tokens > paid {
+            ReserveAnswer::Exhausted
+        } else if row.closed + settled + state.settled + tokens > paid {
+            ReserveAnswer::Frozen
+        } else if row.closed + used + state.used + tokens > paid {
+            ReserveAnswer::Drained
+        } else {
+            ReserveAnswer::Short
+        }
+    }
+
+    pub(super) fn is_own(&self, entry: &crate::grant::HolderEntry) -> bool {
+        entry.instance == self.instance && entry.boot == self.boot
+    }
+
+    /// What was paid, by the newer of the configuration and the row.
+    #[expect(clippy::unused_self, reason = "called like the other methods")]
+    pub(super) fn paid(&self, state: &BudgetState, row: &BudgetRow) -> u64 {
+        if state.paid.1 >= row.paid_version {
+            state.paid.0
+        } else {
+            row.paid
+        }
+    }
+
+    pub(super) fn own_allowance(
+        &self,
+        row: &LimitRow,
+        id: &OrganisationId,
+        time: ClockTime,
+    ) -> u64 {
+        let own = row.boot == self.boot && row.nonce == self.nonce;
+        if own { row.allowance(id, time) } else { 0 }
+    }
+
+    /// Time until every limit that may be in force allows `tokens` in total.
+    fn unlock_time(&self, id: &OrganisationId, tokens: u64, now: ClockTime) -> ClockSpan {
+        let until = |row: &LimitRow| {
+            let time = row.unlocked_at(id, tokens);
+            time.map_or(u64::MAX / 4, |time| time.since(now).as_millis())
+        };
+        let millis = self.limits.max_of(until);
+        ClockSpan::from_millis(millis)
+    }
+
+    pub(super) fn budget_index(&self, organisation: &OrganisationId) -> Option<usize> {
+        let found = self
+            .budgets
+            .binary_search_by(|state| state.organisation.cmp(organisation));
+        found.ok()
+    }
+
+    pub(super) fn budget_mut(&mut self, organisation: &OrganisationId) -> &mut BudgetState {
+        let found = self
+            .budgets
+            .binary_search_by(|state| state.organisation.cmp(organisation));
+        let index = found.unwrap_or_else(|index| {
+            let state = BudgetState {
+                ranked: self.ranking.is_holder(&self.instance, organisation),
+                organisation: organisation.clone(),
+                row: TrackedRow::default(),
+                paid: (0, 0),
+                used: 0,
+                settled: 0,
+                borrowed: 0,
+                loans: Vec::new(),
+                loans_changed_at: ClockTime::default(),
+                lent: 0,
+                stand_in_since: None,
+                declined: None,
+                waiting: 0,
+                shortage: None,
+                demand: RateMeter::default(),
+                written_at: ClockTime::default(),
+            };
+            self.budgets.insert(index, state);
+            index
+        });
+        &mut self.budgets[index]
+    }
+}
--- a/crates/guavawell-core/src/grant/mod.rs
+++ b/crates/guavawell-core/src/grant/mod.rs
@@ -1,48 +1,53 @@
-//! Budgets that are granted to instances and unlocked by time.
+//! Budgets that are granted to instances and released over time.
 //!
-//! An organisation's row in the platform's store holds what was paid and how
-//! much of it each instance was *granted*. An instance may spend of its grant
-//! only up to its *line*, a second row that says how much it had spent at some
-//! time of the store's steady clock, and at which rate it may spend since.
-//! So an instance that is cut off from the store goes on spending, and one that
-//! died leaves behind a bound on what it can have spent: the next boot of the
-//! same instance frees the rest. No grant ends by time.
+//! Each organisation has a *budget row* in the platform's store. It holds what
+//! was paid and how much of it is granted to each instance. Each instance has a
+//! *limit row*, which holds a *spend limit* for every budget that it uses: how
+//! much the instance had spent at some time of the store's monotonic clock, and
+//! at which rate it may spend from then on. An instance spends its grant only
+//! up to this limit.
 //!
-//! Safety rests on four rules, each searched exhaustively in
+//! An instance that cannot reach the store therefore keeps spending, and a
+//! process that ended leaves behind a bound on what it can have spent. The next
+//! process of the same instance, its next *boot*, returns the rest of the grant
+//! to the budget. What the ended boot spent below its bound is unknown, so the
+//! whole bound stays charged; the tokens in it that were not spent are
+//! *frozen*. Grants do not expire.
+//!
+//! Safety rests on four rules, all of them covered by the searches in
 //! `tests/grant_search`:
 //!
 //! - every write is conditional on the row's version;
-//! - a write whose answer is missing may stand, or land later, so the lowest of
-//!   all lines and grants that may be in force binds;
-//! - an instance's idea of the store's time is never ahead of it;
-//! - a successor's bound on its predecessor's end is never before it.
+//! - a write without an answer may have been applied or may be applied later, so
+//!   the lowest of all grants and limits that may be in force applies;
+//! - an instance's estimate of the store's time is never ahead of the store;
+//! - the estimate of when the previous boot ended is never too early.
 //!
-//! In a large fleet a few instances hold an organisation's tokens (`holders`),
-//! and the others borrow for each request (`loan`). Lent tokens are spent for
-//! their lender until the borrower accounts for them, once and to that life of
-//! the lender alone, so a loan that is lost makes less of a budget, never more.
+//! In a large fleet only a few instances hold an organisation's tokens
+//! (`holders`), and the others borrow tokens for each request (`loan`). A
+//! lender counts lent tokens as spent until the borrower reports what became of
+//! them. Each report is sent once, and only the boot that lent accepts it, so a
+//! lost loan reduces what can be spent but never raises it.
 //!
-//! This folder does no I/O and reads no clock.
+//! Nothing in this module does I/O or reads a clock.
 
 mod answer;
-mod book;
 mod codec;
-mod early;
+mod early_share;
 mod follow;
 mod holders;
-mod line;
+mod ledger;
+mod limit;
 mod loan;
 mod pace;
 mod plan;
 mod rate;
 mod row;
 mod store_clock;
-mod version;
+mod tracked_row;
 
 pub use answer::BudgetFacts;
 pub use answer::ReserveAnswer;
-pub use book::BookSettings;
-pub use book::GrantBook;
 pub use codec::CodecError;
 pub use codec::decode_row;
 pub use codec::encode_row;
@@ -51,12 +56,14 @@
 pub use holders::FleetMember;
 pub use holders::HolderRanking;
 pub use holders::HolderSettings;
-pub use line::ClosedBoot;
-pub use line::LineRow;
-pub use line::SpendLine;
+pub use ledger::GrantLedger;
+pub use ledger::LedgerSettings;
+pub use limit::ClosedBoot;
+pub use limit::LimitRow;
+pub use limit::SpendLimit;
 pub use loan::LenderId;
 pub use loan::LoanAnswer;
-pub use loan::LoanAsk;
+pub use loan::LoanRequest;
 pub use loan::LoanReturn;
 pub use loan::LoanScope;
 pub use pace::PaceSettings;
@@ -66,4 +73,4 @@
 pub use row::HolderEntry;
 pub use store_clock::StartBound;
 pub use store_clock::StoreClock;
-pub use version::RowVersions;
+pub use tracked_row::TrackedRow;
--- a/crates/guavawell-core/src/grant/pace.rs
+++ b/crates/guavawell-core/src/grant/pace.rs
@@ -1,70 +1,69 @@
-//! How often a row is written whose writes the store turns down for its rate.
+//! Backoff for writes of a row that the store throttles.
 //!
-//! Load pattern: a hundred instances start at one moment and write the same
-//! rows. The store carries out two hundred transactions of a row a second and
-//! turns the rest down; writers that come back after a fixed pause keep it at
-//! its limit with writes in vain. Each writer's rate is halved when the store
-//! turns it down and rises by steps when a write is carried out.
+//! Load pattern: a hundred instances start at the same moment and write the
+//! same rows. The store applies two hundred transactions per second to a row
+//! and rejects the rest. If writers retry after a fixed delay, their rejected
+//! writes keep the store at its limit. So each writer halves its rate when a
+//! write is throttled, and raises it by a fixed step when a write succeeds.
 
 use crate::clock::ClockSpan;
 
 /// Bounds of a writer's rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceSettings {
-    /// Writes a second that are never held back.
-    pub most: u32,
-    /// Writes in ten seconds that are always tried, so that a writer finds out
-    /// when there is room again.
-    pub least_in_ten: u32,
-    /// Writes a second more after each one that was carried out.
-    pub step: u32,
+    /// Highest rate, in writes per second.
+    pub max_per_second: u32,
+    /// Lowest rate, in writes per ten seconds. It lets a writer notice that the
+    /// store has capacity again.
+    pub min_per_ten_seconds: u32,
+    /// Increase of the rate after a successful write, in writes per second.
+    pub increase_per_second: u32,
 }
 
 impl Default for PaceSettings {
     fn default() -> Self {
         Self {
-            most: 10,
-            least_in_ten: 3,
-            step: 1,
+            max_per_second: 10,
+            min_per_ten_seconds: 3,
+            increase_per_second: 1,
         }
     }
 }
 
-/// A writer's rate.
+/// The rate of one writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WritePace {
     settings: PaceSettings,
-    /// Writes in ten seconds.
+    /// Writes per ten seconds.
     rate: u32,
 }
 
 impl WritePace {
-    /// The full rate.
+    /// Starts at the highest rate.
     #[must_use]
     pub const fn new(settings: PaceSettings) -> Self {
         Self {
-            rate: settings.most * 10,
+            rate: settings.max_per_second * 10,
             settings,
         }
     }
 
-    /// The store turned a write down for its rate.
-    pub fn turned_down(&mut self) {
-        self.rate = (self.rate / 2).max(self.settings.least_in_ten);
+    /// Records that the store rejected a write because of its rate.
+    pub fn write_throttled(&mut self) {
+        self.rate = (self.rate / 2).max(self.settings.min_per_ten_seconds);
     }
 
-    /// A write was carried out.
-    pub fn carried_out(&mut self) {
-        let next = self.rate + self.settings.step * 10;
-        self.rate = next.min(self.settings.most * 10);
+    /// Records that a write was applied.
+    pub fn write_succeeded(&mut self) {
+        let next = self.rate + self.settings.increase_per_second * 10;
+        self.rate = next.min(self.settings.max_per_second * 10);
     }
 
-    /// The pause before a write that was turned down is tried again. `spread`
-    /// is random, 0 to 1: writers that were turned down together come back
-    /// apart.
+    /// The delay before a throttled write is retried. `jitter` is a random
+    /// number from 0 to 1; it spreads out writers that were throttled together.
     #[must_use]
-    pub fn pause(&self, spread: f64) -> ClockSpan {
-        let whole = 10_000.0 / f64::from(self.rate);
-        ClockSpan::from_millis(crate::number::whole(whole * (0.5 + spread)))
+    pub fn pause(&self, jitter: f64) -> ClockSpan {
+        let interval = 10_000.0 / f64::from(self.rate);
+        ClockSpan::from_millis(crate::number::whole(interval * (0.5 + jitter)))
     }
 }
--- a/crates/guavawell-core/src/grant/plan.rs
+++ b/crates/guavawell-core/src/grant/plan.rs
@@ -1,33 +1,33 @@
-//! What a boot writes to its rows, and what it takes from their answers.
+//! Writes of the limit row and the budget rows, and their outcomes.
 
 use crate::clock::ClockTime;
 use crate::grant::BudgetRow;
 use crate::grant::ClosedBoot;
-use crate::grant::GrantBook;
+use crate::grant::GrantLedger;
 use crate::grant::HolderEntry;
-use crate::grant::LineRow;
-use crate::grant::SpendLine;
-use crate::grant::book::BudgetState;
+use crate::grant::LimitRow;
+use crate::grant::SpendLimit;
+use crate::grant::ledger::BudgetState;
 use crate::id::OrganisationId;
 use crate::number::fraction;
 use crate::number::whole;
 
-/// Unanswered writes of a row beyond which only reads are sent: a bound on
-/// memory. Each of them may still land, so none can be forgotten until the row
-/// is seen to have changed.
-const MAX_OPEN: usize = 32;
-/// Change of a grant, as a part of the stock, that is worth a write.
-const WORTH_WRITING: f64 = 0.4;
-
-impl GrantBook {
-    /// The row of lines was read, or a write of it was turned down with it.
-    /// `now` is the local time at which that call was answered, and the call
-    /// was sent after this process had started.
+/// Unanswered writes of a row beyond which only reads are sent. This bounds
+/// memory: each of them may still be applied, so none can be forgotten until
+/// the row is seen to have changed.
+const MAX_PENDING_WRITES: usize = 32;
+/// Change of the stock that is worth a write, as a fraction of its larger
+/// value.
+const MIN_RELATIVE_CHANGE: f64 = 0.4;
+
+impl GrantLedger {
+    /// Records a read of the limit row, or the row returned with a rejected
+    /// write. The call must have been sent after this process started.
     ///
-    /// Returns whether the row belongs to this boot, or to none that is later.
-    pub fn saw_lines(&mut self, version: u64, row: Option<LineRow>) -> bool {
-        self.lines.seen(version, row);
-        let Some(row) = self.lines.known() else {
+    /// Returns false if the row belongs to a later boot.
+    pub fn limits_read(&mut self, version: u64, row: Option<LimitRow>) -> bool {
+        self.limits.row_read(version, row);
+        let Some(row) = self.limits.known() else {
             return true;
         };
         let own = row.nonce == self.nonce;
@@ -37,185 +37,188 @@
         own || self.boot == 0
     }
 
-    /// The first row of this boot, after the row of the one before was read.
+    /// The first row of this boot, once the row of the previous one was read.
     #[must_use]
-    pub fn first_lines(&self, now: ClockTime) -> Option<LineRow> {
+    pub fn first_limits(&self, now: ClockTime) -> Option<LimitRow> {
         let time = self.clock.now(now)?;
-        let ended = self.start.get()?;
-        let before = self.lines.known().cloned().unwrap_or_default();
-        Some(before.succeed(self.nonce, ended, time))
+        let ended = self.previous_end.get()?;
+        let before = self.limits.known().cloned().unwrap_or_default();
+        Some(before.successor(self.nonce, ended, time))
     }
 
-    /// The lines as last known, which are those of the boot before until this
-    /// one began, and when that boot had ended at the latest.
+    /// The limits as last known, and when the previous boot had ended at the
+    /// latest. Until this boot starts, they are those of the previous one.
     #[must_use]
-    pub fn former_lines(&self) -> Option<(&LineRow, ClockTime)> {
-        self.lines.known().zip(self.start.get())
+    pub fn previous_limits(&self) -> Option<(&LimitRow, ClockTime)> {
+        self.limits.known().zip(self.previous_end.get())
     }
 
-    /// The version that the next write of the lines depends on.
+    /// The version that the next write of the limit row is conditional on.
     #[must_use]
-    pub fn lines_version(&self) -> u64 {
-        self.lines.version()
+    pub fn limits_version(&self) -> u64 {
+        self.limits.version()
     }
 
-    /// Whether the lines must be read before they are written again.
+    /// Whether the limit row must be read before it is written again.
     #[must_use]
-    pub fn lines_unsure(&self) -> bool {
-        !self.lines.is_read() || self.lines.is_open()
+    pub fn must_read_limits(&self) -> bool {
+        !self.limits.is_read() || self.limits.has_pending_writes()
     }
 
-    /// The lines to write now, or `None` if the present ones will do.
+    /// The limit row to write now, or `None` if the present one is sufficient.
     #[must_use]
-    pub fn next_lines(&self, now: ClockTime) -> Option<LineRow> {
+    pub fn next_limits(&self, now: ClockTime) -> Option<LimitRow> {
         let time = self.clock.now(now)?;
-        if self.boot == 0 || self.lines.open_writes() >= MAX_OPEN {
+        if self.boot == 0 || self.limits.pending_writes() >= MAX_PENDING_WRITES {
             return None;
         }
-        let before = self.lines.known()?;
+        let before = self.limits.known()?;
         let settings = &self.settings;
-        let age = Self::paced(
-            settings.line_age,
-            settings.line_age_each,
+        let age = Self::scaled_age(
+            settings.limit_max_age,
+            settings.limit_age_per_instance,
             settings.instances,
         );
-        let fresh = now.since(self.lines_at) < age;
-        let waits = self.budgets.iter().any(|state| state.waiting > 0);
-        let lines: Vec<SpendLine> = self
+        let is_fresh = now.since(self.limits_sent_at) < age;
+        let has_waiting = self.budgets.iter().any(|state| state.waiting > 0);
+        let limits: Vec<SpendLimit> = self
             .budgets
             .iter()
-            .filter(|state| self.has_line(state, now))
-            .map(|state| self.next_line(state, now))
+            .filter(|state| self.needs_limit(state, now))
+            .map(|state| self.next_limit(state, now))
             .collect();
-        let same = before.lines.len() == lines.len()
+        let same = before.limits.len() == limits.len()
             && before
-                .lines
+                .limits
                 .iter()
-                .zip(&lines)
+                .zip(&limits)
                 .all(|(a, b)| a.spent == b.spent);
-        if same || (fresh && !waits) {
+        if same || (is_fresh && !has_waiting) {
             return None;
         }
         let closed = before.closed.iter().filter(|ended| self.is_needed(ended));
-        Some(LineRow {
+        Some(LimitRow {
             boot: self.boot,
             nonce: self.nonce,
             at: time,
-            lines,
+            limits,
             closed: closed.cloned().collect(),
         })
     }
 
-    /// Whether this boot spends of a budget by its own grant. One that no longer
-    /// holds tokens keeps its line for as long as it has spent some.
-    fn has_line(&self, state: &BudgetState, now: ClockTime) -> bool {
+    /// Whether this boot needs a spend limit for a budget. It keeps the limit
+    /// when it is no longer a holder, as long as it has a grant or has spent
+    /// tokens.
+    fn needs_limit(&self, state: &BudgetState, now: ClockTime) -> bool {
         self.holds(state, now) || state.used > 0 || self.grant(state) > 0
     }
 
-    fn next_line(&self, state: &BudgetState, now: ClockTime) -> SpendLine {
+    fn next_limit(&self, state: &BudgetState, now: ClockTime) -> SpendLimit {
         let settings = &self.settings;
         let demand = fraction(state.demand.per_second(now));
         let stock = fraction(self.grant(state).saturating_sub(state.used));
         let early = self.early_share(state, now);
-        let late = (demand * settings.late_factor).max(stock / settings.late_seconds);
-        SpendLine {
+        let late = (demand * settings.late_rate_factor).max(stock / settings.late_drain_seconds);
+        SpendLimit {
             organisation: state.organisation.clone(),
             spent: state.used + state.waiting,
             burst: early.burst,
             rate: early.rate,
             late_rate: whole(late),
-            turn: settings.turn,
+            late_rate_after: settings.late_rate_after,
         }
     }
 
-    /// Whether any budget's row may still hold a grant of an ended boot. A write
-    /// of the boot before may land late, in a row that it had no line of.
+    /// Whether a budget row may still list a grant of an ended boot. A late
+    /// write of the previous boot may add one to a budget that it has no limit
+    /// for.
     fn is_needed(&self, ended: &ClosedBoot) -> bool {
         let may_hold = |state: &BudgetState| match state.row.known() {
             Some(row) => row.holder(&self.instance, ended.boot).is_some(),
-            None => !state.row.is_read() && ended.names(&state.organisation),
+            None => !state.row.is_read() && ended.has_limit(&state.organisation),
         };
         ended.boot + 1 == self.boot || self.budgets.iter().any(may_hold)
     }
 
-    /// A write of the lines is about to be sent.
-    pub fn sent_lines(&mut self, row: LineRow, now: ClockTime) {
-        self.lines.sent(row);
-        self.lines_at = now;
+    /// Records that a write of the limit row is about to be sent.
+    pub fn limits_sent(&mut self, row: LimitRow, now: ClockTime) {
+        self.limits.write_sent(row);
+        self.limits_sent_at = now;
     }
 
-    /// The write of the lines was carried out.
-    pub fn wrote_lines(&mut self, version: u64) {
-        self.lines.stands(version);
-        if let Some(row) = self.lines.known() {
+    /// Records that the write of the limit row was applied.
+    pub fn limits_written(&mut self, version: u64) {
+        self.limits.write_confirmed(version);
+        if let Some(row) = self.limits.known() {
             self.boot = row.boot;
         }
     }
 
-    /// The write of the lines has no answer and will get none.
-    pub fn lost_lines(&mut self) {
-        self.lines.lost();
+    /// Records that the write of the limit row was given up without an answer.
+    pub fn limits_unanswered(&mut self) {
+        self.limits.write_unanswered();
     }
 
-    /// The write of the lines was surely not carried out.
-    pub fn dropped_lines(&mut self) {
-        self.lines.dropped();
+    /// Records that the write of the limit row was not applied.
+    pub fn limits_rejected(&mut self) {
+        self.limits.write_rejected();
     }
 
-    /// A budget's row was read, or came with a write that was turned down.
-    pub fn saw_budget(&mut self, id: &OrganisationId, version: u64, row: Option<BudgetRow>) {
-        self.state(id).row.seen(version, row);
+    /// Records a read of a budget row, or the row returned with a rejected
+    /// write.
+    pub fn budget_read(&mut self, id: &OrganisationId, version: u64, row: Option<BudgetRow>) {
+        self.budget_mut(id).row.row_read(version, row);
     }
 
-    /// The version that the next write of a budget's row depends on.
+    /// The version that the next write of a budget row is conditional on.
     #[must_use]
     pub fn budget_version(&self, id: &OrganisationId) -> u64 {
-        let place = self.find(id);
-        place.map_or(0, |place| self.budgets[place].row.version())
+        let index = self.budget_index(id);
+        index.map_or(0, |index| self.budgets[index].row.version())
     }
 
-    /// Whether a budget's row must be read before it is written again.
+    /// Whether a budget row must be read before it is written again.
     #[must_use]
-    pub fn budget_unsure(&self, id: &OrganisationId) -> bool {
-        let place = self.find(id);
-        place.is_none_or(|place| {
-            let row = &self.budgets[place].row;
-            !row.is_read() || row.is_open()
+    pub fn must_read_budget(&self, id: &OrganisationId) -> bool {
+        let index = self.budget_index(id);
+        index.is_none_or(|index| {
+            let row = &self.budgets[index].row;
+            !row.is_read() || row.has_pending_writes()
         })
     }
 
-    /// Whether this boot has to do with a budget's row: it holds tokens or
-    /// still has some, or an earlier boot's grant may have to be closed.
+    /// Whether this boot maintains a budget row: it is a holder, has unspent
+    /// tokens, or may have to close the grant of an earlier boot.
     #[must_use]
-    pub fn tends(&self, id: &OrganisationId, now: ClockTime) -> bool {
-        let Some(place) = self.find(id) else {
+    pub fn maintains(&self, id: &OrganisationId, now: ClockTime) -> bool {
+        let Some(index) = self.budget_index(id) else {
             return false;
         };
-        let state = &self.budgets[place];
-        let former = match state.row.known() {
+        let state = &self.budgets[index];
+        let has_ended_boot = match state.row.known() {
             Some(row) => row
                 .holders
                 .iter()
                 .any(|entry| entry.instance == self.instance && entry.boot < self.boot),
-            None => !state.row.is_read() && self.had_line(id),
+            None => !state.row.is_read() && self.had_limit(id),
         };
-        self.holds(state, now) || former || self.grant(state) > state.used
+        self.holds(state, now) || has_ended_boot || self.grant(state) > state.used
     }
 
-    /// Whether an earlier boot had a line of a budget.
-    fn had_line(&self, id: &OrganisationId) -> bool {
-        let closed = self.lines.known().map_or(&[][..], |row| &row.closed[..]);
-        closed.iter().any(|ended| ended.names(id))
+    /// Whether an earlier boot had a limit for a budget.
+    fn had_limit(&self, id: &OrganisationId) -> bool {
+        let closed = self.limits.known().map_or(&[][..], |row| &row.closed[..]);
+        closed.iter().any(|ended| ended.has_limit(id))
     }
 
-    /// The row to write for a budget now, or `None` if the present one will do.
+    /// The budget row to write now, or `None` if the present one is sufficient.
     #[must_use]
     pub fn next_budget(&self, id: &OrganisationId, now: ClockTime) -> Option<BudgetRow> {
-        let state = &self.budgets[self.find(id)?];
+        let state = &self.budgets[self.budget_index(id)?];
         if self.boot == 0 || self.leaving || !state.row.is_read() {
             return None;
         }
-        if state.row.open_writes() >= MAX_OPEN {
+        if state.row.pending_writes() >= MAX_PENDING_WRITES {
             return None;
         }
         let before = state.row.known().cloned().unwrap_or_default();
@@ -229,55 +232,56 @@
             return (row.holders != before.holders).then_some(row);
         }
         let entry = self.next_entry(state, &row, now);
-        let repaid = (row.paid, row.closed) != (before.paid, before.closed);
-        let worth = held.is_none_or(|held| self.is_worth(held, &entry, state, now));
-        if !repaid && !worth {
+        let totals_changed = (row.paid, row.closed) != (before.paid, before.closed);
+        let worth = held.is_none_or(|held| self.is_worth_writing(held, &entry, state, now));
+        if !totals_changed && !worth {
             return None;
         }
-        row.put(entry);
+        row.upsert(entry);
         Some(row)
     }
 
-    /// The row that gives everything back, for a process that leaves.
+    /// The budget row that returns all unspent tokens, for a process that is
+    /// leaving.
     #[must_use]
-    pub fn last_budget(&self, id: &OrganisationId) -> Option<BudgetRow> {
-        let state = &self.budgets[self.find(id)?];
+    pub fn final_budget(&self, id: &OrganisationId) -> Option<BudgetRow> {
+        let state = &self.budgets[self.budget_index(id)?];
         let mut row = state.row.known()?.clone();
         row.holder(&self.instance, self.boot)?;
         row.close(&self.instance, self.boot, state.used, state.settled);
         Some(row)
     }
 
-    /// A write of a budget's row is about to be sent.
-    pub fn sent_budget(&mut self, id: &OrganisationId, row: BudgetRow, now: ClockTime) {
-        let state = self.state(id);
-        state.row.sent(row);
+    /// Records that a write of a budget row is about to be sent.
+    pub fn budget_sent(&mut self, id: &OrganisationId, row: BudgetRow, now: ClockTime) {
+        let state = self.budget_mut(id);
+        state.row.write_sent(row);
         state.written_at = now;
     }
 
-    /// The write of a budget's row was carried out.
-    pub fn wrote_budget(&mut self, id: &OrganisationId, version: u64) {
-        self.state(id).row.stands(version);
+    /// Records that the write of a budget row was applied.
+    pub fn budget_written(&mut self, id: &OrganisationId, version: u64) {
+        self.budget_mut(id).row.write_confirmed(version);
     }
 
-    /// The write of a budget's row has no answer and will get none.
-    pub fn lost_budget(&mut self, id: &OrganisationId) {
-        self.state(id).row.lost();
+    /// Records that the write of a budget row was given up without an answer.
+    pub fn budget_unanswered(&mut self, id: &OrganisationId) {
+        self.budget_mut(id).row.write_unanswered();
     }
 
-    /// Whether a write of a budget's row is on its way.
+    /// Whether a write of a budget row is in flight.
     #[must_use]
-    pub fn budget_writing(&self, id: &OrganisationId) -> bool {
-        let place = self.find(id);
-        place.is_some_and(|place| self.budgets[place].row.is_writing())
+    pub fn is_writing_budget(&self, id: &OrganisationId) -> bool {
+        let index = self.budget_index(id);
+        index.is_some_and(|index| self.budgets[index].row.is_writing())
     }
 
-    /// The write of a budget's row was surely not carried out.
-    pub fn dropped_budget(&mut self, id: &OrganisationId) {
-        self.state(id).row.dropped();
+    /// Records that the write of a budget row was not applied.
+    pub fn budget_rejected(&mut self, id: &OrganisationId) {
+        self.budget_mut(id).row.write_rejected();
     }
 
-    /// Ends earlier boots of this instance in a row.
+    /// Closes the grants of earlier boots of this instance in a row.
     fn close_ended(&self, row: &mut BudgetRow, id: &OrganisationId) {
         let own = row
             .holders
@@ -288,23 +292,24 @@
             .filter(|boot| *boot < self.boot)
             .collect();
         for boot in ended {
-            let closed = self.lines.known().map_or(&[][..], |row| &row.closed[..]);
+            let closed = self.limits.known().map_or(&[][..], |row| &row.closed[..]);
             let known = closed.iter().find(|ended| ended.boot == boot);
-            let spent = known.map_or(u64::MAX, |ended| ended.spent_of(id));
+            let spent = known.map_or(u64::MAX, |ended| ended.max_spent(id));
             row.close(&self.instance, boot, spent, 0);
         }
     }
 
     fn next_entry(&self, state: &BudgetState, row: &BudgetRow, now: ClockTime) -> HolderEntry {
         let rate = state.demand.per_second(now);
-        let elsewhere = row.held_elsewhere(&self.instance, self.boot);
+        let elsewhere = row.granted_elsewhere(&self.instance, self.boot);
         let free = row.paid.saturating_sub(row.closed + elsewhere);
         let missing = self.missing(state, now);
-        let stock = if !self.holds(state, now) || self.yields(row, state.used + missing, free) {
-            0
-        } else {
-            self.stock(state, row, rate).max(missing)
-        };
+        let stock =
+            if !self.holds(state, now) || self.yields_to_other(row, state.used + missing, free) {
+                0
+            } else {
+                self.stock(state, row, rate).max(missing)
+            };
         let grant = (state.used + stock).min(free).max(state.used);
         HolderEntry {
             instance: self.instance.clone(),
@@ -317,23 +322,23 @@
         }
     }
 
-    /// Whether this instance gives its stock to another one: both lack tokens,
-    /// neither has enough alone, and the other one comes first by name.
-    fn yields(&self, row: &BudgetRow, needed: u64, free: u64) -> bool {
+    /// Whether this instance gives up its stock for another one: neither has
+    /// enough tokens alone, and the other one comes first by name.
+    fn yields_to_other(&self, row: &BudgetRow, needed: u64, free: u64) -> bool {
         let mut others = row.holders.iter().filter(|entry| !self.is_own(entry));
         needed > free && others.any(|entry| entry.wanted > 0 && entry.instance < self.instance)
     }
 
-    /// Tokens that requests wait for, or were refused for lately.
+    /// Tokens that requests wait for or were recently refused for.
     fn missing(&self, state: &BudgetState, now: ClockTime) -> u64 {
-        let lately = state
+        let recent = state
             .shortage
-            .filter(|(_, at)| now.since(*at) < self.settings.shortage_age);
-        state.waiting.max(lately.map_or(0, |(tokens, _)| tokens))
+            .filter(|(_, at)| now.since(*at) < self.settings.shortage_max_age);
+        state.waiting.max(recent.map_or(0, |(tokens, _)| tokens))
     }
 
-    /// Tokens beyond the used ones that this instance should hold: some seconds
-    /// of its demand, within its share of what is left.
+    /// Unspent tokens that this instance should hold: some seconds of its
+    /// demand, within its share of what is left.
     fn stock(&self, state: &BudgetState, row: &BudgetRow, rate: u64) -> u64 {
         let settings = &self.settings;
         let others = || row.holders.iter().filter(|entry| !self.is_own(entry));
@@ -343,16 +348,21 @@
         let equal = left / count;
         let rates: u64 = others().map(|entry| entry.rate).sum::<u64>() + rate;
         if rates == 0 {
-            return whole(settings.unseen_part * equal);
+            return whole(settings.idle_fraction * equal);
         }
         let by_demand = left * fraction(rate) / fraction(rates);
-        let wished = settings.stock_seconds * fraction(rate);
+        let by_own_demand = settings.stock_seconds * fraction(rate);
         let free = fraction(row.paid.saturating_sub(row.committed()));
-        let idle = settings.unseen_part * equal * (free / left.max(1.0)).min(1.0);
-        whole(wished.min(settings.most_part * by_demand).max(idle))
+        let idle = settings.idle_fraction * equal * (free / left.max(1.0)).min(1.0);
+        whole(
+            by_own_demand
+                .min(settings.max_stock_fraction * by_demand)
+                .max(idle),
+        )
     }
 
-    fn is_worth(
+    /// Whether an entry differs enough from the stored one to be written.
+    fn is_worth_writing(
         &self,
         held: &HolderEntry,
         next: &HolderEntry,
@@ -361,33 +371,33 @@
     ) -> bool {
         let have = fraction(held.grant.saturating_sub(state.used));
         let want = fraction(next.grant.saturating_sub(state.used));
-        let changed = (want - have).abs() > WORTH_WRITING * want.max(have);
+        let changed = (want - have).abs() > MIN_RELATIVE_CHANGE * want.max(have);
         let settings = &self.settings;
-        let age = Self::paced(
-            settings.entry_age,
-            settings.entry_age_each,
+        let age = Self::scaled_age(
+            settings.entry_max_age,
+            settings.entry_age_per_writer,
             self.row_writers(),
         );
         let old = now.since(state.written_at) >= age;
-        let served = state.waiting > 0 && next.grant > held.grant;
-        let told = next.wanted > 0 && held.wanted == 0;
-        let gives = want < have && self.others_want(state);
-        // What is surely spent tells the others when a refusal is final.
+        let covers_waiting = state.waiting > 0 && next.grant > held.grant;
+        let newly_short = next.wanted > 0 && held.wanted == 0;
+        let frees_for_others = want < have && self.others_short(state);
+        // Other instances need the settled tokens to know when a refusal is final.
         let settled = next.settled > held.settled && self.missing(state, now) > 0;
-        served || told || (changed && (old || gives)) || (settled && old)
+        covers_waiting || newly_short || (changed && (old || frees_for_others)) || (settled && old)
     }
 
-    /// Whether tokens of any budget are asked for, here or elsewhere, that an
-    /// instance may be about to give back.
+    /// Whether a budget is short of tokens here or elsewhere, so that some
+    /// instance may soon return some.
     #[must_use]
     pub fn is_contended(&self, now: ClockTime) -> bool {
         let contended =
-            |state: &BudgetState| self.missing(state, now) > 0 || self.others_want(state);
+            |state: &BudgetState| self.missing(state, now) > 0 || self.others_short(state);
         self.budgets.iter().any(contended)
     }
 
     /// Whether another instance lacks tokens of this budget.
-    fn others_want(&self, state: &BudgetState) -> bool {
+    fn others_short(&self, state: &BudgetState) -> bool {
         let Some(row) = state.row.known() else {
             return false;
         };
--- a/crates/guavawell-core/src/grant/row.rs
+++ b/crates/guavawell-core/src/grant/row.rs
@@ -1,4 +1,4 @@
-//! The row of one organisation's budget.
+//! The budget row of one organisation.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,33 +10,35 @@
 pub struct HolderEntry {
     /// The instance.
     pub instance: InstanceId,
-    /// The number of its boot.
+    /// The number of the boot.
     pub boot: u64,
-    /// Granted to this boot since it began, spent ones included.
+    /// Granted to this boot since it started, including what it has spent.
     pub grant: u64,
-    /// Of these, reserved or spent when the entry was written.
+    /// Part of the grant that was reserved or spent when the entry was written.
     pub used: u64,
-    /// Of these, spent for good when the entry was written.
+    /// Part of `used` that was spent; the rest is reserved.
     pub settled: u64,
-    /// Tokens a second that callers asked this instance for.
+    /// Tokens per second that callers request from this instance.
     pub rate: u64,
-    /// Tokens that requests wait for beyond the grant.
+    /// Tokens that requests lack beyond the grant.
     pub wanted: u64,
 }
 
-/// A budget: `closed` plus all grants never exceeds what was paid, unless the
-/// operator lowers that.
+/// The budget of one organisation.
+///
+/// `closed` plus all grants never exceeds `paid`, unless the operator lowers
+/// `paid`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetRow {
-    /// Tokens paid for in all.
+    /// Tokens paid for in total.
     pub paid: u64,
-    /// The configuration version that said so.
+    /// The configuration version that `paid` comes from.
     pub paid_version: u64,
-    /// Spent at most by boots that have ended.
+    /// The most that ended boots can have spent.
     pub closed: u64,
-    /// Of these, surely spent.
+    /// Part of `closed` that is known to be spent.
     pub settled: u64,
-    /// What living boots hold, sorted by instance and boot.
+    /// Grants of boots that are not closed, sorted by instance and boot.
     pub holders: Vec<HolderEntry>,
 }
 
@@ -44,43 +46,43 @@
     /// The entry of a boot.
     #[must_use]
     pub fn holder(&self, instance: &InstanceId, boot: u64) -> Option<&HolderEntry> {
-        let place = self.place(instance, boot);
-        self.holders.get(place.ok()?)
+        let index = self.position(instance, boot);
+        self.holders.get(index.ok()?)
     }
 
     /// Inserts or replaces the entry of a boot.
-    pub fn put(&mut self, entry: HolderEntry) {
-        match self.place(&entry.instance, entry.boot) {
-            Ok(place) => self.holders[place] = entry,
-            Err(place) => self.holders.insert(place, entry),
+    pub fn upsert(&mut self, entry: HolderEntry) {
+        match self.position(&entry.instance, entry.boot) {
+            Ok(index) => self.holders[index] = entry,
+            Err(index) => self.holders.insert(index, entry),
         }
     }
 
-    /// Ends a boot that spent at most `most` and at least `least`; the rest of
-    /// its grant is free.
-    pub fn close(&mut self, instance: &InstanceId, boot: u64, most: u64, least: u64) {
-        if let Ok(place) = self.place(instance, boot) {
-            let entry = self.holders.remove(place);
-            self.closed += most.min(entry.grant);
-            self.settled += least.max(entry.settled);
+    /// Removes the entry of an ended boot that spent between `min_spent` and
+    /// `max_spent` tokens. The rest of its grant becomes available.
+    pub fn close(&mut self, instance: &InstanceId, boot: u64, max_spent: u64, min_spent: u64) {
+        if let Ok(index) = self.position(instance, boot) {
+            let entry = self.holders.remove(index);
+            self.closed += max_spent.min(entry.grant);
+            self.settled += min_spent.max(entry.settled);
         }
     }
 
-    /// Tokens spent by ended boots or granted to living ones.
+    /// Tokens charged for ended boots or granted to running ones.
     #[must_use]
     pub fn committed(&self) -> u64 {
         let granted: u64 = self.holders.iter().map(|entry| entry.grant).sum();
         self.closed + granted
     }
 
-    /// Tokens granted to others than this boot.
+    /// Tokens granted to boots other than this one.
     #[must_use]
-    pub fn held_elsewhere(&self, instance: &InstanceId, boot: u64) -> u64 {
+    pub fn granted_elsewhere(&self, instance: &InstanceId, boot: u64) -> u64 {
         let own = self.holder(instance, boot).map_or(0, |entry| entry.grant);
         self.committed() - self.closed - own
     }
 
-    fn place(&self, instance: &InstanceId, boot: u64) -> Result<usize, usize> {
+    fn position(&self, instance: &InstanceId, boot: u64) -> Result<usize, usize> {
         self.holders
             .binary_search_by(|entry| (&entry.instance, entry.boot).cmp(&(instance, boot)))
     }
--- a/crates/guavawell-core/src/grant/store_clock.rs
+++ b/crates/guavawell-core/src/grant/store_clock.rs
@@ -1,24 +1,25 @@
-//! A lower bound on the store's steady clock.
+//! Bounds on the time of the store's monotonic clock.
 
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
 /// Allowance for a local clock that runs fast: one part in this many. Clocks of
 /// machines drift by less than one part in 5,000.
-const DRIFT_PARTS: u64 = 500;
+const DRIFT_DIVISOR: u64 = 500;
 
-/// The part of a local span that surely passed.
-const fn sure(passed: ClockSpan) -> ClockSpan {
+/// The least time that can have elapsed while the local clock advanced by
+/// `passed`.
+const fn min_elapsed(passed: ClockSpan) -> ClockSpan {
     let millis = passed.as_millis();
-    ClockSpan::from_millis(millis - millis / DRIFT_PARTS)
+    ClockSpan::from_millis(millis - millis / DRIFT_DIVISOR)
 }
 
-/// An upper bound on the store's time at a process's start, and so on when the
-/// process before it in the same place ended.
+/// An upper bound on the store's time when this process started. The previous
+/// process of the instance had ended by then.
 ///
-/// An answer's time was told after its question was sent, and between the start
-/// and that moment so much time passed at least. A store that cannot be reached
-/// for seconds after a start makes the bound no later.
+/// The store reads its clock after a call was sent, so the local time between
+/// the start and the call is subtracted from the reading. The bound therefore
+/// gets no later if the store cannot be reached for seconds after a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartBound {
     started: ClockTime,
@@ -26,7 +27,8 @@
 }
 
 impl StartBound {
-    /// No bound yet for a process that started at a local time.
+    /// Creates an unknown bound for a process that started at the local time
+    /// `started`.
     #[must_use]
     pub const fn new(started: ClockTime) -> Self {
         Self {
@@ -35,42 +37,45 @@
         }
     }
 
-    /// An answer to a question sent at the local time `asked` told the store's
-    /// time.
+    /// Records the store's time from the answer to a call that was sent at the
+    /// local time `asked`.
     pub fn tell(&mut self, store: ClockTime, asked: ClockTime) {
-        let passed = sure(asked.since(self.started)).as_millis();
+        let passed = min_elapsed(asked.since(self.started)).as_millis();
         let bound = ClockTime::from_millis(store.as_millis().saturating_sub(passed));
         self.bound = Some(self.bound.map_or(bound, |known| known.min(bound)));
     }
 
-    /// The bound, once an answer told the time.
+    /// The bound, or `None` before the first answer.
     #[must_use]
     pub const fn get(&self) -> Option<ClockTime> {
         self.bound
     }
 }
 
-/// The store's time as far as it is proved.
+/// A lower bound on the store's current time.
 ///
-/// It is never ahead of the store: it counts local steady time from the moment
-/// an answer was received, and a suspended process only falls behind.
+/// It adds local monotonic time to the store's time in an answer, starting when
+/// the answer was received. A suspended process only falls behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreClock {
-    told: Option<(ClockTime, ClockTime)>,
+    /// The store's time from an answer, and the local time at which it was
+    /// received.
+    observed: Option<(ClockTime, ClockTime)>,
 }
 
 impl StoreClock {
-    /// An answer received at the local time `now` told the store's time.
+    /// Records the store's time from an answer received at the local time
+    /// `now`.
     pub fn tell(&mut self, store: ClockTime, now: ClockTime) {
         if self.now(now).is_none_or(|known| store > known) {
-            self.told = Some((store, now));
+            self.observed = Some((store, now));
         }
     }
 
-    /// The store's time, or `None` before the first answer.
+    /// The bound, or `None` before the first answer.
     #[must_use]
     pub fn now(&self, now: ClockTime) -> Option<ClockTime> {
-        let (store, received) = self.told?;
-        Some(store + sure(now.since(received)))
+        let (store, received) = self.observed?;
+        Some(store + min_elapsed(now.since(received)))
     }
 }
--- a/crates/guavawell-core/tests/grant_follow.rs
+++ b/crates/guavawell-core/tests/grant_follow.rs
@@ -1,28 +1,29 @@
-//! What an instance reads of the budgets' changes, replayed against a link.
+//! How many changes of budget rows an instance reads over its link.
 //!
-//! 79 instances, 24 organisations: about 100 changes a second, 5 KB each, over a
-//! link that carries 10 Mbit/s; a call may take 800 ms. Asked for everything
-//! since its last whole answer, the store never answered in time.
+//! The load is that of 79 instances and 24 organisations: about 100 changes per
+//! second of 5 KB each, over a link of 10 Mbit/s, with a time limit of 800 ms
+//! for a call. An instance that polls for every change since its last complete
+//! answer never gets an answer in time.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::grant::FollowSettings;
 use guavawell_core::grant::FollowWindow;
 
-/// Time between two questions of a fleet of that size, in milliseconds.
+/// Time between two polls in a fleet of that size, in milliseconds.
 const INTERVAL_MS: u64 = 1_685;
 
-/// Longest time of a call, in milliseconds.
+/// Time limit of a call, in milliseconds.
 const CALL_MS: u64 = 800;
 
-/// A link and what other instances write.
+/// A link and the changes that other instances write.
 struct FollowLoad {
-    bytes_a_ms: u64,
+    bytes_per_ms: u64,
     change_bytes: u64,
-    /// Milliseconds between two changes.
-    change_every: u64,
+    /// Time between two changes, in milliseconds.
+    change_interval_ms: u64,
 }
 
-/// What a minute of questions came to.
+/// Totals of one minute of polls.
 #[derive(Debug, Default)]
 struct FollowTally {
     busy_ms: u64,
@@ -37,13 +38,13 @@
         let mut now = 0;
         let mut since = 0;
         while now < 60_000 {
-            let passed_over = window.passed_over(interval).as_millis();
-            if passed_over > 0 {
-                since = now + passed_over;
+            let skipped_span = window.skipped_span(interval).as_millis();
+            if skipped_span > 0 {
+                since = now + skipped_span;
             }
             now += INTERVAL_MS;
-            let changes = (now - since) / self.change_every;
-            let took = changes * self.change_bytes / self.bytes_a_ms;
+            let changes = (now - since) / self.change_interval_ms;
+            let took = changes * self.change_bytes / self.bytes_per_ms;
             if took > CALL_MS {
                 window.failed();
                 tally.unanswered += 1;
@@ -62,11 +63,11 @@
 }
 
 #[test]
-fn a_small_link_is_kept_free_and_every_question_answered() {
+fn a_slow_link_stays_mostly_idle_and_every_call_is_answered() {
     let load = FollowLoad {
-        bytes_a_ms: 1_250,
+        bytes_per_ms: 1_250,
         change_bytes: 5_000,
-        change_every: 10,
+        change_interval_ms: 10,
     };
     let mut window = FollowWindow::new(FollowSettings::default());
     let tally = load.replay(&mut window);
@@ -76,26 +77,26 @@
 }
 
 #[test]
-fn a_link_that_carries_everything_misses_nothing_once_it_knows() {
+fn a_fast_link_reads_every_change_after_adapting() {
     let load = FollowLoad {
-        bytes_a_ms: 125_000,
+        bytes_per_ms: 125_000,
         change_bytes: 1_000,
-        change_every: 50,
+        change_interval_ms: 50,
     };
     let mut window = FollowWindow::new(FollowSettings::default());
     load.replay(&mut window);
     let interval = ClockSpan::from_millis(INTERVAL_MS);
-    assert_eq!(window.passed_over(interval), ClockSpan::default());
+    assert_eq!(window.skipped_span(interval), ClockSpan::default());
 }
 
 #[test]
-fn an_answer_that_never_came_is_not_asked_for_again() {
+fn a_failed_call_resets_the_window() {
     let mut window = FollowWindow::new(FollowSettings::default());
     let interval = ClockSpan::from_millis(INTERVAL_MS);
     for _ in 0..10 {
         window.answered(ClockSpan::default(), interval);
     }
-    assert_eq!(window.passed_over(interval), ClockSpan::default());
+    assert_eq!(window.skipped_span(interval), ClockSpan::default());
     window.failed();
-    assert!(window.passed_over(interval).as_millis() > INTERVAL_MS - 50);
+    assert!(window.skipped_span(interval).as_millis() > INTERVAL_MS - 50);
 }
--- a/crates/guavawell-core/tests/grant_refusal.rs
+++ b/crates/guavawell-core/tests/grant_refusal.rs
@@ -1,12 +1,12 @@
-//! What callers are told when a budget does not cover their requests.
+//! Why requests are refused when a budget does not cover them.
 //!
-//! The load: a budget is spent to its end at several holders, and its callers
-//! come back for as long as they are told that it may help.
+//! Several holders spend a budget completely, and callers retry for as long as
+//! the answer says that it may help.
 
 mod grant_rows;
 
-use guavawell_core::grant::BookSettings;
-use guavawell_core::grant::GrantBook;
+use guavawell_core::grant::GrantLedger;
+use guavawell_core::grant::LedgerSettings;
 use guavawell_core::grant::ReserveAnswer;
 use guavawell_core::id::InstanceId;
 
@@ -19,75 +19,75 @@
 const REQUEST: u64 = 1_000;
 /// Time between two requests at one holder, in milliseconds.
 const STEP: u64 = 50;
-/// By then all is spent, in milliseconds.
-const SPENT: u64 = 6_000;
-/// By then less than half of it is.
-const EARLY_END: u64 = 600;
+/// Time by which the whole budget is spent, in milliseconds.
+const SPENT_BY: u64 = 6_000;
+/// Time by which less than half of the budget is spent, in milliseconds.
+const EARLY_CRASH: u64 = 600;
 
 struct Fleet {
     rows: StoreRows,
-    books: Vec<GrantBook>,
+    ledgers: Vec<GrantLedger>,
 }
 
-fn book(place: usize, life: u64, began: u64) -> GrantBook {
+fn ledger(place: usize, life: u64, began: u64) -> GrantLedger {
     let instance: InstanceId = format!("i{place}").parse().expect("a valid id");
     let nonce = life * 100 + place as u64;
-    let settings = BookSettings {
+    let settings = LedgerSettings {
         instances: HOLDERS,
-        ..BookSettings::default()
+        ..LedgerSettings::default()
     };
-    let mut book = GrantBook::new(instance, nonce, at(began), settings);
-    book.set_paid(&organisation(), PAID, 1);
-    book
+    let mut ledger = GrantLedger::new(instance, nonce, at(began), settings);
+    ledger.set_paid(&organisation(), PAID, 1);
+    ledger
 }
 
 impl Fleet {
     fn start() -> Self {
         let mut fleet = Self {
             rows: StoreRows::new(HOLDERS),
-            books: (0..HOLDERS).map(|place| book(place, 1, 0)).collect(),
+            ledgers: (0..HOLDERS).map(|place| ledger(place, 1, 0)).collect(),
         };
-        for (place, book) in fleet.books.iter_mut().enumerate() {
-            fleet.rows.begin(place, book, at(0));
+        for (place, ledger) in fleet.ledgers.iter_mut().enumerate() {
+            fleet.rows.begin_boot(place, ledger, at(0));
         }
         fleet
     }
 
-    /// One request at each holder, spent at once if it is granted. Returns the
-    /// last answers.
+    /// Sends one request to each holder. Granted requests are settled at once.
+    /// Returns the final answers.
     fn request(&mut self, millis: u64) -> Vec<ReserveAnswer> {
         let id = organisation();
         let mut answers = Vec::new();
-        for (place, book) in self.books.iter_mut().enumerate() {
+        for (place, ledger) in self.ledgers.iter_mut().enumerate() {
             let now = at(millis);
-            let mut answer = book.reserve(&id, REQUEST, now);
+            let mut answer = ledger.reserve(&id, REQUEST, now);
             if answer != ReserveAnswer::Granted {
-                book.wait(&id, REQUEST, true);
-                self.rows.keep(place, book, now);
-                book.wait(&id, REQUEST, false);
-                answer = book.reserve(&id, REQUEST, now);
+                ledger.wait(&id, REQUEST, true);
+                self.rows.sync_rows(place, ledger, now);
+                ledger.wait(&id, REQUEST, false);
+                answer = ledger.reserve(&id, REQUEST, now);
             }
             if answer == ReserveAnswer::Granted {
-                book.settle(&id, REQUEST, REQUEST);
+                ledger.settle(&id, REQUEST, REQUEST);
             }
-            self.rows.keep(place, book, now);
+            self.rows.sync_rows(place, ledger, now);
             answers.push(answer);
         }
         answers
     }
 
-    /// Plays until `end`. What is granted stays reserved; returns how many
-    /// requests each holder has running.
+    /// Runs until `end` and keeps granted requests reserved. Returns the number
+    /// of running requests of each holder.
     fn reserve(&mut self, end: u64) -> Vec<u64> {
         let id = organisation();
         let mut running = vec![0; HOLDERS];
         for millis in (STEP..end).step_by(usize::try_from(STEP).expect("small")) {
-            for (place, book) in self.books.iter_mut().enumerate() {
+            for (place, ledger) in self.ledgers.iter_mut().enumerate() {
                 let now = at(millis);
-                book.wait(&id, REQUEST, true);
-                self.rows.keep(place, book, now);
-                book.wait(&id, REQUEST, false);
-                let answer = book.reserve(&id, REQUEST, now);
+                ledger.wait(&id, REQUEST, true);
+                self.rows.sync_rows(place, ledger, now);
+                ledger.wait(&id, REQUEST, false);
+                let answer = ledger.reserve(&id, REQUEST, now);
                 running[place] += u64::from(answer == ReserveAnswer::Granted);
             }
         }
@@ -96,52 +96,52 @@
 }
 
 #[test]
-fn a_budget_that_is_spent_is_told_as_spent_at_every_holder() {
+fn a_spent_budget_is_exhausted_at_every_holder() {
     let id = organisation();
     let mut fleet = Fleet::start();
-    // All is reserved, and every holder tells that it lacks tokens, before the
-    // requests end.
-    let running = fleet.reserve(SPENT);
+    // The whole budget is reserved, and every holder reports a shortage, before
+    // the requests end.
+    let running = fleet.reserve(SPENT_BY);
     assert_eq!(running.iter().sum::<u64>(), PAID / REQUEST);
-    for (book, running) in fleet.books.iter_mut().zip(running) {
-        book.settle(&id, running * REQUEST, running * REQUEST);
+    for (ledger, running) in fleet.ledgers.iter_mut().zip(running) {
+        ledger.settle(&id, running * REQUEST, running * REQUEST);
     }
-    // Callers come back twice: an entry is brought up to date once a second.
-    fleet.request(SPENT + 2_000);
-    fleet.request(SPENT + 2_100);
-    let answers = fleet.request(SPENT + 2_200);
+    // Callers retry twice, since an entry is brought up to date once per second.
+    fleet.request(SPENT_BY + 2_000);
+    fleet.request(SPENT_BY + 2_100);
+    let answers = fleet.request(SPENT_BY + 2_200);
     assert_eq!(answers, [ReserveAnswer::Exhausted; HOLDERS]);
 }
 
 #[test]
-fn what_ended_processes_may_not_have_spent_is_no_reason_to_come_back_soon() {
+fn tokens_frozen_by_ended_processes_are_no_reason_to_retry() {
     let mut fleet = Fleet::start();
-    for millis in (STEP..EARLY_END).step_by(usize::try_from(STEP).expect("small")) {
+    for millis in (STEP..EARLY_CRASH).step_by(usize::try_from(STEP).expect("small")) {
         fleet.request(millis);
     }
-    // The grants and lines of all are not used up when their processes end.
-    let began = EARLY_END + 1_000;
+    // All processes end before their grants and spend limits are used up.
+    let began = EARLY_CRASH + 1_000;
     for place in 0..HOLDERS {
-        fleet.books[place] = book(place, 2, began);
-        let book = &mut fleet.books[place];
-        fleet.rows.begin(place, book, at(began));
+        fleet.ledgers[place] = ledger(place, 2, began);
+        let ledger = &mut fleet.ledgers[place];
+        fleet.rows.begin_boot(place, ledger, at(began));
     }
-    for millis in (began..began + SPENT).step_by(usize::try_from(STEP).expect("small")) {
+    for millis in (began..began + SPENT_BY).step_by(usize::try_from(STEP).expect("small")) {
         fleet.request(millis);
     }
-    let answers = fleet.request(began + SPENT + 2_000);
+    let answers = fleet.request(began + SPENT_BY + 2_000);
     assert_eq!(answers, [ReserveAnswer::Frozen; HOLDERS]);
 }
 
 #[test]
-fn while_requests_run_their_tokens_may_come_free() {
+fn a_budget_reserved_by_running_requests_is_drained() {
     let id = organisation();
     let mut fleet = Fleet::start();
-    let running = fleet.reserve(SPENT);
-    // The requests of one holder still run.
-    for (book, running) in fleet.books.iter_mut().zip(running).skip(1) {
-        book.settle(&id, running * REQUEST, running * REQUEST);
+    let running = fleet.reserve(SPENT_BY);
+    // The requests of one holder are still running.
+    for (ledger, running) in fleet.ledgers.iter_mut().zip(running).skip(1) {
+        ledger.settle(&id, running * REQUEST, running * REQUEST);
     }
-    let answers = fleet.request(SPENT + 2_000);
+    let answers = fleet.request(SPENT_BY + 2_000);
     assert_eq!(answers, [ReserveAnswer::Drained; HOLDERS]);
 }
--- a/crates/guavawell-core/tests/grant_rows/mod.rs
+++ b/crates/guavawell-core/tests/grant_rows/mod.rs
@@ -1,9 +1,9 @@
-//! The store's rows of one budget, for tests of several instances.
+//! The store's rows for one budget, for tests with several instances.
 
 use guavawell_core::clock::ClockTime;
 use guavawell_core::grant::BudgetRow;
-use guavawell_core::grant::GrantBook;
-use guavawell_core::grant::LineRow;
+use guavawell_core::grant::GrantLedger;
+use guavawell_core::grant::LimitRow;
 use guavawell_core::id::OrganisationId;
 
 pub fn organisation() -> OrganisationId {
@@ -18,7 +18,7 @@
 pub struct StoreRows {
     version: u64,
     budget: (u64, Option<BudgetRow>),
-    lines: Vec<(u64, Option<LineRow>)>,
+    limits: Vec<(u64, Option<LimitRow>)>,
 }
 
 impl StoreRows {
@@ -26,7 +26,7 @@
         Self {
             version: 1,
             budget: (0, None),
-            lines: vec![(0, None); instances],
+            limits: vec![(0, None); instances],
         }
     }
 
@@ -35,46 +35,52 @@
         self.version
     }
 
-    fn write_lines(&mut self, place: usize, book: &mut GrantBook, row: LineRow, now: ClockTime) {
-        book.sent_lines(row.clone(), now);
+    fn write_limits(
+        &mut self,
+        place: usize,
+        ledger: &mut GrantLedger,
+        row: LimitRow,
+        now: ClockTime,
+    ) {
+        ledger.limits_sent(row.clone(), now);
         let version = self.next();
-        self.lines[place] = (version, Some(row));
-        book.wrote_lines(version);
+        self.limits[place] = (version, Some(row));
+        ledger.limits_written(version);
     }
 
-    /// Begins a boot: closes the one before and takes a first grant.
-    pub fn begin(&mut self, place: usize, book: &mut GrantBook, now: ClockTime) {
-        self.begin_lines(place, book, now);
-        self.keep(place, book, now);
+    /// Starts a boot: closes the previous one and takes a first grant.
+    pub fn begin_boot(&mut self, place: usize, ledger: &mut GrantLedger, now: ClockTime) {
+        self.begin_limits(place, ledger, now);
+        self.sync_rows(place, ledger, now);
     }
 
-    /// Begins a boot and closes the one before.
-    pub fn begin_lines(&mut self, place: usize, book: &mut GrantBook, now: ClockTime) {
-        book.tell_time(now, now, now);
-        let (version, row) = self.lines[place].clone();
-        book.saw_lines(version, row);
-        let first = book.first_lines(now).expect("the store's time is known");
-        self.write_lines(place, book, first, now);
+    /// Starts a boot in the limit row and closes the previous one.
+    pub fn begin_limits(&mut self, place: usize, ledger: &mut GrantLedger, now: ClockTime) {
+        ledger.record_store_time(now, now, now);
+        let (version, row) = self.limits[place].clone();
+        ledger.limits_read(version, row);
+        let first = ledger.first_limits(now).expect("the store's time is known");
+        self.write_limits(place, ledger, first, now);
     }
 
-    /// An instance reads the budget's row.
-    pub fn show_budget(&self, book: &mut GrantBook) {
+    /// An instance reads the budget row.
+    pub fn read_budget(&self, ledger: &mut GrantLedger) {
         let (version, row) = self.budget.clone();
-        book.saw_budget(&organisation(), version, row);
+        ledger.budget_read(&organisation(), version, row);
     }
 
-    /// Brings both rows of an instance up to date.
-    pub fn keep(&mut self, place: usize, book: &mut GrantBook, now: ClockTime) {
-        book.tell_time(now, now, now);
-        self.show_budget(book);
-        if let Some(row) = book.next_budget(&organisation(), now) {
-            book.sent_budget(&organisation(), row.clone(), now);
+    /// Brings the budget row and the limit row of an instance up to date.
+    pub fn sync_rows(&mut self, place: usize, ledger: &mut GrantLedger, now: ClockTime) {
+        ledger.record_store_time(now, now, now);
+        self.read_budget(ledger);
+        if let Some(row) = ledger.next_budget(&organisation(), now) {
+            ledger.budget_sent(&organisation(), row.clone(), now);
             let version = self.next();
             self.budget = (version, Some(row));
-            book.wrote_budget(&organisation(), version);
+            ledger.budget_written(&organisation(), version);
         }
-        if let Some(row) = book.next_lines(now) {
-            self.write_lines(place, book, row, now);
+        if let Some(row) = ledger.next_limits(now) {
+            self.write_limits(place, ledger, row, now);
         }
     }
 }
--- a/crates/guavawell-core/tests/grant_walks.rs
+++ b/crates/guavawell-core/tests/grant_walks.rs
@@ -1,14 +1,15 @@
-//! Random walks of a fleet that lends: processes end at any moment, accounts of
-//! loans come late or never, and what callers got stays within what was paid.
+//! Random walks of a fleet whose instances lend tokens. Processes end at any
+//! moment, and reports on loans come late or never. Callers must never get more
+//! than what was paid.
 
 mod grant_rows;
 
 use fastrand::Rng;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::grant::BookSettings;
 use guavawell_core::grant::FleetMember;
-use guavawell_core::grant::GrantBook;
+use guavawell_core::grant::GrantLedger;
 use guavawell_core::grant::HolderSettings;
+use guavawell_core::grant::LedgerSettings;
 use guavawell_core::grant::LoanReturn;
 use guavawell_core::grant::ReserveAnswer;
 use guavawell_core::id::InstanceId;
@@ -26,18 +27,18 @@
 const STEP_MS: u64 = 20;
 const SEEDS: u64 = 150;
 
-/// A request that runs: where, what it has set aside, and how much of it is lent.
+/// A running request: its instance, and the borrowed part of its reservation.
 struct RunningRequest {
     place: usize,
     lent: u64,
 }
 
-struct World {
+struct Simulation {
     rows: StoreRows,
-    books: Vec<GrantBook>,
+    ledgers: Vec<GrantLedger>,
     running: Vec<RunningRequest>,
-    /// Accounts on their way.
-    accounts: Vec<LoanReturn>,
+    /// Reports on their way to lenders.
+    returns: Vec<LoanReturn>,
     random: Rng,
     nonce: u64,
     spent: u64,
@@ -56,79 +57,85 @@
     members.collect()
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             rows: StoreRows::new(INSTANCES),
-            books: Vec::new(),
+            ledgers: Vec::new(),
             running: Vec::new(),
-            accounts: Vec::new(),
+            returns: Vec::new(),
             random: Rng::with_seed(seed),
             nonce: 0,
             spent: 0,
             now: at(0),
         };
         for place in 0..INSTANCES {
-            let book = world.start(place);
-            world.books.push(book);
+            let ledger = simulation.start(place);
+            simulation.ledgers.push(ledger);
         }
-        world
+        simulation
     }
 
-    /// A new life of an instance, after the one before has ended.
-    fn start(&mut self, place: usize) -> GrantBook {
+    /// Starts a new boot of an instance, after the previous one has ended.
+    fn start(&mut self, place: usize) -> GrantLedger {
         self.nonce += 1;
-        let settings = BookSettings {
+        let settings = LedgerSettings {
             holders: HolderSettings {
-                everywhere: 0,
+                all_hold_up_to: 0,
                 ..HolderSettings::default()
             },
-            ..BookSettings::default()
+            ..LedgerSettings::default()
         };
-        let mut book = GrantBook::new(instance(place), self.nonce, self.now, settings);
-        book.set_fleet(fleet());
-        book.set_paid(&organisation(), PAID, 1);
-        self.rows.begin(place, &mut book, self.now);
-        book
+        let mut ledger = GrantLedger::new(instance(place), self.nonce, self.now, settings);
+        ledger.set_fleet(fleet());
+        ledger.set_paid(&organisation(), PAID, 1);
+        self.rows.begin_boot(place, &mut ledger, self.now);
+        ledger
     }
 
-    /// All that its requests had set aside counts as spent.
+    /// Ends a process. Everything that its requests had reserved counts as
+    /// spent.
     fn kill(&mut self, place: usize) {
         let ended = self
             .running
             .extract_if(.., |request| request.place == place);
         self.spent += ended.count() as u64 * REQUEST;
-        self.books[place] = self.start(place);
+        self.ledgers[place] = self.start(place);
     }
 
     fn borrow(&mut self, place: usize) {
         let id = organisation();
-        let order = self.books[place].holder_order(&id);
+        let order = self.ledgers[place].holder_order(&id);
         // Any instance may be the one that answers.
         let skipped = self.random.usize(..order.len());
-        let lender: usize = order[skipped].as_str()[1..].parse().expect("its place");
-        let ask = self.books[place].loan_ask(&id, REQUEST, self.now);
-        let book = &mut self.books[lender];
-        let mut answer = book.lend(&id, ask, self.now);
-        if let (0, Some(missing)) = (answer.tokens, book.lend_later(&id, ask, self.now)) {
-            book.wait(&id, missing, true);
-            self.rows.keep(lender, book, self.now);
-            book.wait(&id, missing, false);
-            answer = book.lend(&id, ask, self.now);
+        let lender: usize = order[skipped].as_str()[1..]
+            .parse()
+            .expect("an index in the id");
+        let request = self.ledgers[place].loan_request(&id, REQUEST, self.now);
+        let ledger = &mut self.ledgers[lender];
+        let mut answer = ledger.lend(&id, request, self.now);
+        if let (0, Some(missing)) = (
+            answer.tokens,
+            ledger.tokens_to_fetch(&id, request, self.now),
+        ) {
+            ledger.wait(&id, missing, true);
+            self.rows.sync_rows(lender, ledger, self.now);
+            ledger.wait(&id, missing, false);
+            answer = ledger.lend(&id, request, self.now);
         }
-        let signature = book.lender_id();
+        let lender_id = ledger.lender_id();
         // One answer in sixty is lost.
         if self.random.u8(..60) > 0 && answer.tokens > 0 {
-            self.books[place].take_loan(&id, signature, answer.tokens, self.now);
+            self.ledgers[place].receive_loan(&id, lender_id, answer.tokens, self.now);
         }
     }
 
     fn request(&mut self, place: usize) {
         let id = organisation();
-        if !self.books[place].is_holder(&id, self.now) {
+        if !self.ledgers[place].is_holder(&id, self.now) {
             self.borrow(place);
         }
-        let lent = match self.books[place].reserve(&id, REQUEST, self.now) {
+        let lent = match self.ledgers[place].reserve(&id, REQUEST, self.now) {
             ReserveAnswer::Granted => 0,
             ReserveAnswer::GrantedLoan(lent) => lent,
             _ => return,
@@ -145,22 +152,22 @@
             .swap_remove(self.random.usize(..self.running.len()));
         let spent = REQUEST / 4 * self.random.u64(1..=4);
         self.spent += spent;
-        let book = &mut self.books[request.place];
-        book.settle_loan(&organisation(), REQUEST, request.lent, spent);
+        let ledger = &mut self.ledgers[request.place];
+        ledger.settle_loan(&organisation(), REQUEST, request.lent, spent);
     }
 
-    /// An account arrives, at the life that lent or at one after it, or is lost.
+    /// Loses a report, or delivers it to the boot that lent or a later one.
     fn deliver(&mut self) {
-        if self.accounts.is_empty() {
+        if self.returns.is_empty() {
             return;
         }
-        let place = self.random.usize(..self.accounts.len());
-        let account = self.accounts.swap_remove(place);
-        let lender: usize = account.lender.instance.as_str()[1..]
+        let place = self.random.usize(..self.returns.len());
+        let loan_return = self.returns.swap_remove(place);
+        let lender: usize = loan_return.lender.instance.as_str()[1..]
             .parse()
-            .expect("its place");
+            .expect("an index in the id");
         if self.random.u8(..30) > 0 {
-            self.books[lender].take_return(&account);
+            self.ledgers[lender].apply_return(&loan_return);
         }
     }
 
@@ -171,11 +178,13 @@
             0..400 => self.request(place),
             400..700 => self.finish(),
             700..820 => {
-                let due = self.books[place].due_returns(self.now);
-                self.accounts.extend(due);
+                let due = self.ledgers[place].due_returns(self.now);
+                self.returns.extend(due);
             }
             820..920 => self.deliver(),
-            920..998 => self.rows.keep(place, &mut self.books[place], self.now),
+            920..998 => self
+                .rows
+                .sync_rows(place, &mut self.ledgers[place], self.now),
             _ => self.kill(place),
         }
     }
@@ -185,18 +194,18 @@
 fn a_fleet_that_lends_and_dies_spends_no_more_than_was_paid() {
     let mut most = 0;
     for seed in 0..SEEDS {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
-            let reserved = world.running.len() as u64 * REQUEST;
-            let most_spent = world.spent + reserved;
-            assert!(most_spent <= PAID, "seed {seed}: {most_spent} of {PAID}");
+            simulation.step();
+            let reserved = simulation.running.len() as u64 * REQUEST;
+            let max_spent = simulation.spent + reserved;
+            assert!(max_spent <= PAID, "seed {seed}: {max_spent} of {PAID}");
         }
-        most = most.max(world.spent);
+        most = most.max(simulation.spent);
     }
     println!("at most {most} of {PAID} spent in {SEEDS} walks");
     assert!(
         most * 4 > PAID * 3,
-        "the walks reach the budget's end: {most}"
+        "the walks spend too little of the budget: {most}"
     );
 }
--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -8,7 +8,7 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::grant::LenderId;
 use guavawell_core::grant::LoanAnswer;
-use guavawell_core::grant::LoanAsk;
+use guavawell_core::grant::LoanRequest;
 use guavawell_core::grant::LoanReturn;
 use guavawell_core::grant::ReserveAnswer;
 use guavawell_core::id::InstanceId;
@@ -58,9 +58,9 @@
         limit: ClockSpan,
     ) -> bool {
         let end = self.clock.now() + limit;
-        let ask = self.loan_ask(organisation, tokens);
+        let ask = self.loan_request(organisation, tokens);
         for (instance, address) in self.choose_lenders(organisation, ask) {
-            let ask = self.loan_ask(organisation, tokens);
+            let ask = self.loan_request(organisation, tokens);
             let Some(answer) = self
                 .ask_peer(organisation, &instance, address, ask, end)
                 .await
@@ -97,7 +97,7 @@
                 break;
             }
             let (instance, address) = holders.remove(0);
-            let ask = self.loan_ask(organisation, tokens);
+            let ask = self.loan_request(organisation, tokens);
             let answer = self
                 .ask_peer(organisation, &instance, address, ask, end)
                 .await;
@@ -118,9 +118,9 @@
         declined.map_or(ShareEnd::Unreached, ShareEnd::Declined)
     }
 
-    fn loan_ask(&self, organisation: &OrganisationId, tokens: u64) -> LoanAsk {
+    fn loan_request(&self, organisation: &OrganisationId, tokens: u64) -> LoanRequest {
         let book = self.book.borrow();
-        book.loan_ask(organisation, tokens, self.clock.now())
+        book.loan_request(organisation, tokens, self.clock.now())
     }
 
     /// Asks one instance and takes in what it lends; `None` without an answer.
@@ -129,7 +129,7 @@
         organisation: &OrganisationId,
         instance: &InstanceId,
         address: SocketAddr,
-        ask: LoanAsk,
+        ask: LoanRequest,
         end: ClockTime,
     ) -> Option<LoanAnswer> {
         let rest = timer_span(end.since(self.clock.now()));
@@ -159,7 +159,7 @@
             };
             let now = self.clock.now();
             let mut book = self.book.borrow_mut();
-            book.take_loan(organisation, lender, answer.tokens, now);
+            book.receive_loan(organisation, lender, answer.tokens, now);
             drop(book);
             self.note_loan("budget.borrowed", organisation, instance, ask, answer);
         }
@@ -183,7 +183,7 @@
     fn choose_lenders(
         &self,
         organisation: &OrganisationId,
-        ask: LoanAsk,
+        ask: LoanRequest,
     ) -> Vec<(InstanceId, SocketAddr)> {
         let held = self.book.borrow().lenders(organisation);
         let mut able: Vec<(InstanceId, u64, SocketAddr)> = held
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -85,10 +85,10 @@
         let usual = (self.answer_ms.get() * (ANSWER_PARTS - 1) + took).div_ceil(ANSWER_PARTS);
         self.answer_ms.set(usual);
         let mut book = self.book.borrow_mut();
-        book.tell_answer(ClockSpan::from_millis(usual));
+        book.set_store_latency(ClockSpan::from_millis(usual));
         drop(book);
         if let Some(time) = time {
-            self.book.borrow_mut().tell_time(time, began, now);
+            self.book.borrow_mut().record_store_time(time, began, now);
         }
         if let Some(since) = self.failing_since.take() {
             let draft = EventDraft::new("store.regained")
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -6,7 +6,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::grant::LoanAnswer;
-use guavawell_core::grant::LoanAsk;
+use guavawell_core::grant::LoanRequest;
 use guavawell_core::grant::LoanReturn;
 use guavawell_core::id::OrganisationId;
 use guavawell_fleet::event::EventDraft;
@@ -84,7 +84,7 @@
                     self.note_loan("budget.lent", &organisation, &head.host, ask, answer);
                     write_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
                 }
-                Some(PeerQuestion::Return(account)) => self.take_return(&account),
+                Some(PeerQuestion::Return(account)) => self.apply_return(&account),
                 Some(PeerQuestion::Suspects(list)) => self.poison.learn(&list, &"another"),
                 Some(PeerQuestion::Config(known)) => {
                     body = self.peers.tell_config(known, &mut writer);
@@ -102,7 +102,7 @@
         &self,
         organisation: &OrganisationId,
         other: &dyn std::fmt::Display,
-        ask: LoanAsk,
+        ask: LoanRequest,
     ) -> Result<(), ChannelError> {
         metrics::counter!("guavawell_forward_loans_total", "kind" => "budget.asker_left")
             .increment(1);
@@ -128,8 +128,8 @@
         Ok(())
     }
 
-    fn take_return(&self, account: &LoanReturn) {
-        if self.book.borrow_mut().take_return(account) {
+    fn apply_return(&self, account: &LoanReturn) {
+        if self.book.borrow_mut().apply_return(account) {
             if account.unspent > 0 {
                 self.changed.notify(usize::MAX);
             }
@@ -144,24 +144,24 @@
 
     /// Lends, after a wait for the store where that helps; a part only where
     /// nothing more is to be had.
-    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, ask: LoanAsk) -> LoanAnswer {
-        let lend_whole = || {
+    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, ask: LoanRequest) -> LoanAnswer {
+        let lend_in_full = || {
             let now = self.clock.now();
-            self.book.borrow_mut().lend_whole(organisation, ask, now)
+            self.book.borrow_mut().lend_in_full(organisation, ask, now)
         };
-        let answer = lend_whole();
+        let answer = lend_in_full();
         if answer.tokens > 0 {
             return answer;
         }
         let now = self.clock.now();
-        let later = self.book.borrow().lend_later(organisation, ask, now);
+        let later = self.book.borrow().tokens_to_fetch(organisation, ask, now);
         if let (Some(missing), false) = (later, self.is_cut_off()) {
             let _waiting = WaitingRequest::new(self, organisation, missing);
             self.ring();
             let end = now + LEND_PATIENCE;
             loop {
                 let changed = self.changed.listen();
-                let answer = lend_whole();
+                let answer = lend_in_full();
                 if answer.tokens > 0 {
                     return answer;
                 }
@@ -181,7 +181,7 @@
         kind: &str,
         organisation: &OrganisationId,
         other: impl std::fmt::Display,
-        ask: LoanAsk,
+        ask: LoanRequest,
         answer: LoanAnswer,
     ) {
         metrics::counter!("guavawell_forward_loans_total", "kind" => kind.to_owned()).increment(1);
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -1,6 +1,6 @@
 //! The instance's own row: it bounds what this boot can have spent.
 
-use guavawell_core::grant::LineRow;
+use guavawell_core::grant::LimitRow;
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
@@ -36,7 +36,7 @@
         if self.book.borrow().boot() > 0 {
             return true;
         }
-        let Some(row) = self.book.borrow().first_lines(self.clock.now()) else {
+        let Some(row) = self.book.borrow().first_limits(self.clock.now()) else {
             return false;
         };
         self.note_closed();
@@ -46,11 +46,11 @@
     /// Logs what the boot before may have spent at most beyond its last word.
     fn note_closed(&self) {
         let book = self.book.borrow();
-        let Some((before, ended)) = book.former_lines() else {
+        let Some((before, ended)) = book.previous_limits() else {
             return;
         };
         let age = ended.since(before.at);
-        for line in &before.lines {
+        for line in &before.limits {
             let draft = EventDraft::new("budget.closed")
                 .organisation(&line.organisation)
                 .field("boot", before.boot)
@@ -77,10 +77,10 @@
 
     /// Writes the lines if they want writing; false if the store failed.
     pub(super) async fn write_lines_once(&self) -> bool {
-        if self.book.borrow().lines_unsure() && !self.read_lines().await {
+        if self.book.borrow().must_read_limits() && !self.read_lines().await {
             return false;
         }
-        let Some(row) = self.book.borrow().next_lines(self.clock.now()) else {
+        let Some(row) = self.book.borrow().next_limits(self.clock.now()) else {
             return true;
         };
         self.put_lines(row).await
@@ -94,10 +94,10 @@
     }
 
     pub(super) fn take_lines(&self, state: &RowState) -> bool {
-        let DecodedRow::Readable(row) = self.decode::<LineRow>(&self.line_key(), state) else {
+        let DecodedRow::Readable(row) = self.decode::<LimitRow>(&self.line_key(), state) else {
             return false;
         };
-        let own = self.book.borrow_mut().saw_lines(state.version, row);
+        let own = self.book.borrow_mut().limits_read(state.version, row);
         self.changed.notify(usize::MAX);
         if !own {
             log::error!("another boot of {} has taken its row over", self.instance);
@@ -105,32 +105,32 @@
         own
     }
 
-    pub(super) async fn put_lines(&self, row: LineRow) -> bool {
+    pub(super) async fn put_lines(&self, row: LimitRow) -> bool {
         let Some(bytes) = encode(&row) else {
             return false;
         };
-        let version = self.book.borrow().lines_version();
-        self.book.borrow_mut().sent_lines(row, self.clock.now());
+        let version = self.book.borrow().limits_version();
+        self.book.borrow_mut().limits_sent(row, self.clock.now());
         let answer = self
             .write_row("lines", self.line_key(), version, bytes)
             .await;
         metrics::counter!("guavawell_forward_line_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().wrote_lines(version);
+                self.book.borrow_mut().limits_written(version);
                 self.changed.notify(usize::MAX);
                 true
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().dropped_lines();
+                self.book.borrow_mut().limits_rejected();
                 self.take_lines(&state)
             }
             Err(StoreFault::NotDone(_) | StoreFault::Limited | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().dropped_lines();
+                self.book.borrow_mut().limits_rejected();
                 false
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().lost_lines();
+                self.book.borrow_mut().limits_unanswered();
                 false
             }
         }
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -19,9 +19,9 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::grant::BookSettings;
 use guavawell_core::grant::FleetMember;
-use guavawell_core::grant::GrantBook;
+use guavawell_core::grant::GrantLedger;
+use guavawell_core::grant::LedgerSettings;
 use guavawell_core::id::InstanceId;
 use guavawell_core::id::OrganisationId;
 use guavawell_core::id::ZoneId;
@@ -85,7 +85,7 @@
     peers: Rc<PeerDesk>,
     /// Requests that crash servers, which instances tell each other of.
     poison: Rc<PoisonDesk>,
-    book: RefCell<GrantBook>,
+    book: RefCell<GrantLedger>,
     /// Something in the book changed for the better.
     changed: Event,
     /// The lines want writing.
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn new(
         member: FleetMember,
-        settings: BookSettings,
+        settings: LedgerSettings,
         clock: SteadyClock,
         log: EventLog,
         store: RowStore,
@@ -120,7 +120,7 @@
             clock,
             log,
             store,
-            book: RefCell::new(GrantBook::new(
+            book: RefCell::new(GrantLedger::new(
                 member.instance.clone(),
                 nonce,
                 SteadyClock::ORIGIN,
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -195,7 +195,7 @@
         match self.borrow_share(organisation, tokens, limit).await {
             ShareEnd::Lent => Ok(true),
             ShareEnd::Unreached => {
-                self.stand_in(organisation);
+                self.become_stand_in(organisation);
                 Ok(false)
             }
             ShareEnd::Declined(cause) => {
@@ -230,9 +230,9 @@
     }
 
     /// Holds tokens in place of holders that do not answer.
-    fn stand_in(&self, organisation: &OrganisationId) {
+    fn become_stand_in(&self, organisation: &OrganisationId) {
         let now = self.clock.now();
-        self.book.borrow_mut().stand_in(organisation, now);
+        self.book.borrow_mut().become_stand_in(organisation, now);
         self.ring();
     }
 
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -90,12 +90,12 @@
         let mut since = self.newest.get();
         loop {
             let interval = self.follow_interval();
-            let passed_over = window.passed_over(interval);
-            if passed_over > ClockSpan::default() {
-                Timer::after(timer_span(passed_over)).await;
+            let skipped_span = window.skipped_span(interval);
+            if skipped_span > ClockSpan::default() {
+                Timer::after(timer_span(skipped_span)).await;
                 since = self.newest_after(since).await;
             }
-            let rest = interval.as_millis() - passed_over.as_millis();
+            let rest = interval.as_millis() - skipped_span.as_millis();
             Timer::after(Duration::from_millis(rest)).await;
             let usual = self.answer_ms.get();
             let began = self.clock.now();
@@ -163,12 +163,12 @@
             let bell = self.budget_bell.listen();
             match self.keep_budget_once(id).await {
                 KeepEnd::Written => {
-                    pace.carried_out();
+                    pace.write_succeeded();
                     wait_until(bell, BUDGET_TICK).await;
                 }
                 KeepEnd::Kept => wait_until(bell, BUDGET_TICK).await,
                 KeepEnd::Limited => {
-                    pace.turned_down();
+                    pace.write_throttled();
                     Timer::after(timer_span(pace.pause(fastrand::f64()))).await;
                 }
                 KeepEnd::Failed => {
@@ -180,10 +180,10 @@
 
     /// Brings one budget's row up to date.
     async fn keep_budget_once(&self, id: &OrganisationId) -> KeepEnd {
-        if !self.book.borrow().tends(id, self.clock.now()) {
+        if !self.book.borrow().maintains(id, self.clock.now()) {
             return KeepEnd::Kept;
         }
-        let unsure = self.book.borrow().budget_unsure(id);
+        let unsure = self.book.borrow().must_read_budget(id);
         if unsure && !self.read_budget(id).await {
             return KeepEnd::Failed;
         }
@@ -212,7 +212,7 @@
         let DecodedRow::Readable(row) = self.decode::<BudgetRow>(&budget_key(id), state) else {
             return false;
         };
-        self.book.borrow_mut().saw_budget(id, state.version, row);
+        self.book.borrow_mut().budget_read(id, state.version, row);
         self.changed.notify(usize::MAX);
         true
     }
@@ -225,21 +225,21 @@
         let before = self.book.borrow().granted(id);
         self.book
             .borrow_mut()
-            .sent_budget(id, row, self.clock.now());
+            .budget_sent(id, row, self.clock.now());
         let answer = self
             .write_row("budget", budget_key(id), version, bytes)
             .await;
         metrics::counter!("guavawell_forward_budget_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().wrote_budget(id, version);
+                self.book.borrow_mut().budget_written(id, version);
                 self.changed.notify(usize::MAX);
                 self.line_bell.notify(usize::MAX);
                 self.note_grant(id, before, version);
                 PutEnd::Written
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.book.borrow_mut().budget_rejected(id);
                 if self.take_budget(id, &state) {
                     PutEnd::Changed
                 } else {
@@ -247,15 +247,15 @@
                 }
             }
             Err(StoreFault::Limited) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.book.borrow_mut().budget_rejected(id);
                 PutEnd::Limited
             }
             Err(StoreFault::NotDone(_) | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.book.borrow_mut().budget_rejected(id);
                 PutEnd::Failed
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().lost_budget(id);
+                self.book.borrow_mut().budget_unanswered(id);
                 PutEnd::Failed
             }
         }
@@ -282,15 +282,15 @@
         for id in ids {
             for _ in 0..MAX_CONFLICTS {
                 // A write of the keeping task may still be on its way.
-                if self.book.borrow().budget_writing(&id) {
+                if self.book.borrow().is_writing_budget(&id) {
                     Timer::after(WRITE_PAUSE).await;
                     continue;
                 }
-                let unsure = self.book.borrow().budget_unsure(&id);
+                let unsure = self.book.borrow().must_read_budget(&id);
                 if unsure && !self.read_budget(&id).await {
                     break;
                 }
-                let Some(row) = self.book.borrow().last_budget(&id) else {
+                let Some(row) = self.book.borrow().final_budget(&id) else {
                     break;
                 };
                 if self.put_budget(&id, row).await != PutEnd::Changed {
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -3,7 +3,7 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::grant::LenderId;
 use guavawell_core::grant::LoanAnswer;
-use guavawell_core::grant::LoanAsk;
+use guavawell_core::grant::LoanRequest;
 use guavawell_core::grant::LoanReturn;
 use guavawell_core::grant::LoanScope;
 use guavawell_core::grant::ReserveAnswer;
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PeerQuestion {
     /// Lend tokens.
-    Loan(OrganisationId, LoanAsk),
+    Loan(OrganisationId, LoanRequest),
     /// Take in an account of lent tokens.
     Return(LoanReturn),
     /// Take in what is believed of requests that crash servers.
@@ -111,7 +111,7 @@
                 let organisation = parts.next()?.parse().ok()?;
                 let needed = parts.next()?.parse().ok()?;
                 let wanted = parts.next()?.parse().ok()?;
-                let ask = LoanAsk {
+                let ask = LoanRequest {
                     needed,
                     wanted,
                     scope,
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -10,7 +10,7 @@
 use guavawell_core::forward::LapseSettings;
 use guavawell_core::forward::QuestionPace;
 use guavawell_core::forward::RepeatSettings;
-use guavawell_core::grant::BookSettings;
+use guavawell_core::grant::LedgerSettings;
 use guavawell_core::id::InstanceId;
 use guavawell_core::id::ZoneId;
 use guavawell_core::poison::PoisonSettings;
@@ -112,7 +112,7 @@
     /// The retry budget.
     pub repeats: RepeatSettings,
     /// Settings of budgets.
-    pub book: BookSettings,
+    pub book: LedgerSettings,
     /// Settings for requests that crash servers.
     pub poison: PoisonSettings,
 }
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -14,8 +14,8 @@
 use guavawell_core::forward::ForwardLimits;
 use guavawell_core::forward::RepeatSettings;
 use guavawell_core::forward::RouteTable;
-use guavawell_core::grant::BookSettings;
 use guavawell_core::grant::FleetMember;
+use guavawell_core::grant::LedgerSettings;
 use guavawell_core::id::IncarnationId;
 use guavawell_core::id::InstanceId;
 use guavawell_core::poison::PoisonSettings;
@@ -62,7 +62,7 @@
     let instance: InstanceId = "r1".parse().expect("a valid id");
     let clock = SteadyClock::start();
     let log = EventLog::off(instance.clone(), IncarnationId::new(1));
-    let book = BookSettings::default();
+    let book = LedgerSettings::default();
     let store = silent_store();
     let member = FleetMember {
         instance: instance.clone(),
