--- a/crates/guavawell-core/src/poison/server.rs
+++ b/crates/guavawell-core/src/poison/server.rs
@@ -6,7 +6,7 @@
 use crate::forward::ServerLife;
 
 /// Servers that are remembered for one request: as many as convict it.
-const REMEMBERED: usize = 3;
+const MAX_SERVERS: usize = 3;
 
 /// Tells the lives of servers apart.
 #[derive(
@@ -28,7 +28,7 @@
 /// Servers whose crashes are held against a request: each life ends once only,
 /// whoever tells of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct CrashedServers([ServerTag; REMEMBERED]);
+pub struct CrashedServers([ServerTag; MAX_SERVERS]);
 
 impl CrashedServers {
     /// Whether a server's crash is held against the request already.
@@ -41,7 +41,7 @@
     pub fn add(&mut self, server: ServerTag) {
         if !self.contains(server) {
             self.0.rotate_left(1);
-            self.0[REMEMBERED - 1] = server;
+            self.0[MAX_SERVERS - 1] = server;
         }
     }
 
@@ -50,7 +50,7 @@
         let servers = others
             .0
             .iter()
-            .filter(|held| **held != ServerTag::default());
+            .filter(|existing| **existing != ServerTag::default());
         for server in servers {
             self.add(*server);
         }
--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -16,42 +16,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoisonSettings {
     /// Crashes in a row from which on a request is refused.
-    pub refused_from: u8,
+    pub refusal_threshold: u8,
     /// Crashes in a row from which on an attempt is not followed by another one
     /// of the same request.
-    pub single_from: u8,
+    pub single_attempt_threshold: u8,
     /// How long a mark lasts after its last change or refusal. One that clears
     /// lasts as long as any that it took back.
-    pub lasts: ClockSpan,
+    pub retention: ClockSpan,
     /// How long a request with so many crashes waits for what others know of it
     /// before it is refused: an answer that one of them saw is told in turn.
-    pub settles_in: ClockSpan,
+    pub settle_span: ClockSpan,
     /// How long a complete answer tells that a request crashes no servers, also
     /// where a crash becomes known only after it.
-    pub answer_tells: ClockSpan,
+    pub answer_span: ClockSpan,
     /// Answers that are remembered: popular requests are among any thousand.
-    pub answers: usize,
+    pub max_answers: usize,
     /// Requests that are remembered: about 40 bytes each.
-    pub most: usize,
+    pub max_requests: usize,
     /// Requests of one organisation that are remembered, so that none can push
     /// out what is believed of others.
-    pub most_each: usize,
+    pub max_requests_per_organisation: usize,
     /// Requests that are told to others at a time.
-    pub most_told: usize,
+    pub max_published: usize,
 }
 
 impl Default for PoisonSettings {
     fn default() -> Self {
         Self {
-            refused_from: 3,
-            single_from: 2,
-            lasts: ClockSpan::from_millis(600_000),
-            settles_in: ClockSpan::from_millis(700),
-            answer_tells: ClockSpan::from_millis(10_000),
-            answers: 1_024,
-            most: 2_048,
-            most_each: 512,
-            most_told: 256,
+            refusal_threshold: 3,
+            single_attempt_threshold: 2,
+            retention: ClockSpan::from_millis(600_000),
+            settle_span: ClockSpan::from_millis(700),
+            answer_span: ClockSpan::from_millis(10_000),
+            max_answers: 1_024,
+            max_requests: 2_048,
+            max_requests_per_organisation: 512,
+            max_published: 256,
         }
     }
 }
@@ -81,11 +81,11 @@
     /// The servers whose crashes the mark counts.
     servers: CrashedServers,
     /// When the mark changed.
-    pub marked_at: ClockTime,
+    pub mark_changed_at: ClockTime,
     /// When the mark changed, or the request was last refused.
     pub at: ClockTime,
     /// Whether this instance tells it to those that read its row.
-    own: bool,
+    published: bool,
 }
 
 /// A change of belief.
@@ -136,23 +136,23 @@
     #[must_use]
     pub fn mark(&self, fingerprint: RequestFingerprint) -> SuspicionMark {
         self.find(fingerprint)
-            .map_or(SuspicionMark::default(), |place| self.entries[place].mark)
+            .map_or(SuspicionMark::default(), |index| self.entries[index].mark)
     }
 
     /// What is to be done with a request.
     #[must_use]
     pub fn verdict(&self, fingerprint: RequestFingerprint, now: ClockTime) -> PoisonVerdict {
-        let Ok(place) = self.find(fingerprint) else {
+        let Ok(index) = self.find(fingerprint) else {
             return PoisonVerdict::Clear;
         };
-        let entry = &self.entries[place];
-        let rest = (entry.at + self.settings.lasts).since(now);
+        let entry = &self.entries[index];
+        let remaining = (entry.at + self.settings.retention).since(now);
         match entry.mark.crashes {
-            _ if rest == ClockSpan::ZERO => PoisonVerdict::Clear,
+            _ if remaining == ClockSpan::ZERO => PoisonVerdict::Clear,
             0 => PoisonVerdict::Clear,
-            crashes if crashes < self.settings.refused_from => PoisonVerdict::Suspect,
-            _ => match (entry.marked_at + self.settings.settles_in).since(now) {
-                ClockSpan::ZERO => PoisonVerdict::Refused(rest),
+            crashes if crashes < self.settings.refusal_threshold => PoisonVerdict::Suspect,
+            _ => match (entry.mark_changed_at + self.settings.settle_span).since(now) {
+                ClockSpan::ZERO => PoisonVerdict::Refused(remaining),
                 settles => PoisonVerdict::Undecided(settles),
             },
         }
@@ -161,40 +161,40 @@
     /// Whether another attempt of the same request may follow one that failed.
     #[must_use]
     pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
-        self.mark(fingerprint).crashes < self.settings.single_from
+        self.mark(fingerprint).crashes < self.settings.single_attempt_threshold
     }
 
     /// A refused request came again: it is remembered for longer.
     pub fn refused(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
-        if let Ok(place) = self.find(fingerprint) {
-            self.entries[place].at = now;
+        if let Ok(index) = self.find(fingerprint) {
+            self.entries[index].at = now;
         }
     }
 
     /// A server crashed under an attempt that began when the request had the
-    /// mark `began`. One whose crash is counted already, since another instance
+    /// mark `mark_at_start`. One whose crash is counted already, since another instance
     /// saw it too, tells nothing more.
     pub fn crashed(
         &mut self,
         fingerprint: RequestFingerprint,
         organisation: OrganisationTag,
-        began: SuspicionMark,
+        mark_at_start: SuspicionMark,
         server: ServerTag,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        let mut servers = self.crashed_servers(fingerprint, began);
+        let mut servers = self.crashed_servers(fingerprint, mark_at_start);
         if servers.contains(server) || self.was_answered(fingerprint, now) {
             return None;
         }
         servers.add(server);
-        let told = SharedSuspicion {
+        let suspicion = SharedSuspicion {
             fingerprint,
             organisation,
-            mark: began.after_crash(),
+            mark: mark_at_start.after_crash(),
             servers,
             age: ClockSpan::default(),
         };
-        self.take(told, true, now)
+        self.merge(suspicion, true, now)
     }
 
     /// The request was answered completely: it crashes no servers.
@@ -203,7 +203,7 @@
         fingerprint: RequestFingerprint,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        if self.answers.len() >= self.settings.answers {
+        if self.answers.len() >= self.settings.max_answers {
             self.answers.pop_front();
         }
         self.answers.push_back((now, fingerprint));
@@ -220,29 +220,29 @@
         if entry.mark.crashes == 0 {
             return None;
         }
-        let told = SharedSuspicion {
+        let suspicion = SharedSuspicion {
             fingerprint,
             organisation: entry.organisation,
             mark: entry.mark.after_answer(),
             servers: CrashedServers::default(),
             age: ClockSpan::default(),
         };
-        self.take(told, true, now)
+        self.merge(suspicion, true, now)
     }
 
     /// Another instance, or an earlier life of this one, told what it believes.
     /// If the request was answered here lately, that is to be told in turn.
     pub fn learn(
         &mut self,
-        told: SharedSuspicion,
-        own: bool,
+        suspicion: SharedSuspicion,
+        published: bool,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        let change = self.take(told, own, now)?;
-        if !self.was_answered(told.fingerprint, now) {
+        let change = self.merge(suspicion, published, now)?;
+        if !self.was_answered(suspicion.fingerprint, now) {
             return Some(change);
         }
-        self.acquit(told.fingerprint, now).or(Some(change))
+        self.acquit(suspicion.fingerprint, now).or(Some(change))
     }
 
     /// What other instances are told of a request, if anything is known of it.
@@ -252,24 +252,27 @@
         fingerprint: RequestFingerprint,
         now: ClockTime,
     ) -> Option<SharedSuspicion> {
-        let place = self.find(fingerprint).ok()?;
-        Some(self.entries[place].shared(now))
+        let index = self.find(fingerprint).ok()?;
+        Some(self.entries[index].shared(now))
     }
 
     /// What this instance saw itself, the most suspected and newest first.
     #[must_use]
     pub fn told(&self, now: ClockTime) -> Vec<SharedSuspicion> {
-        let own = self.entries.iter().filter(|entry| entry.own);
-        let mut told: Vec<&SuspicionEntry> = own.collect();
-        told.sort_by_key(|entry| Reverse((weight(entry.mark), entry.at)));
-        told.truncate(self.settings.most_told);
-        told.into_iter().map(|entry| entry.shared(now)).collect()
+        let published = self.entries.iter().filter(|entry| entry.published);
+        let mut published: Vec<&SuspicionEntry> = published.collect();
+        published.sort_by_key(|entry| Reverse((eviction_rank(entry.mark), entry.at)));
+        published.truncate(self.settings.max_published);
+        published
+            .into_iter()
+            .map(|entry| entry.shared(now))
+            .collect()
     }
 
     /// Forgets what no longer counts.
     pub fn sweep(&mut self, now: ClockTime) {
-        let lasts = self.settings.lasts;
-        self.entries.retain(|entry| now < entry.at + lasts);
+        let retention = self.settings.retention;
+        self.entries.retain(|entry| now < entry.at + retention);
     }
 
     /// The servers that are held against a request since the answer that `mark`
@@ -279,87 +282,96 @@
         fingerprint: RequestFingerprint,
         mark: SuspicionMark,
     ) -> CrashedServers {
-        let place = self.find(fingerprint).ok();
-        let entry = place.map(|place| &self.entries[place]);
+        let index = self.find(fingerprint).ok();
+        let entry = index.map(|index| &self.entries[index]);
         let entry = entry.filter(|entry| entry.mark.cleared == mark.cleared);
         entry.map_or(CrashedServers::default(), |entry| entry.servers)
     }
 
     fn was_answered(&self, fingerprint: RequestFingerprint, now: ClockTime) -> bool {
-        let lately = self.answers.iter().rev();
-        let mut lately = lately.take_while(|(at, _)| now.since(*at) < self.settings.answer_tells);
-        lately.any(|(_, held)| *held == fingerprint)
+        let recent = self.answers.iter().rev();
+        let mut recent = recent.take_while(|(at, _)| now.since(*at) < self.settings.answer_span);
+        recent.any(|(_, existing)| *existing == fingerprint)
     }
 
-    fn take(&mut self, told: SharedSuspicion, own: bool, now: ClockTime) -> Option<MarkChange> {
-        if told.age >= self.settings.lasts {
+    fn merge(
+        &mut self,
+        suspicion: SharedSuspicion,
+        published: bool,
+        now: ClockTime,
+    ) -> Option<MarkChange> {
+        if suspicion.age >= self.settings.retention {
             return None;
         }
-        let at = now.as_millis().saturating_sub(told.age.as_millis());
+        let at = now.as_millis().saturating_sub(suspicion.age.as_millis());
         let at = ClockTime::from_millis(at);
-        let Ok(place) = self.find(told.fingerprint) else {
+        let Ok(index) = self.find(suspicion.fingerprint) else {
             self.insert(SuspicionEntry {
-                fingerprint: told.fingerprint,
-                organisation: told.organisation,
-                mark: told.mark,
-                servers: told.servers,
-                marked_at: at,
+                fingerprint: suspicion.fingerprint,
+                organisation: suspicion.organisation,
+                mark: suspicion.mark,
+                servers: suspicion.servers,
+                mark_changed_at: at,
                 at,
-                own,
+                published,
             });
             return Some(MarkChange {
-                fingerprint: told.fingerprint,
+                fingerprint: suspicion.fingerprint,
                 before: SuspicionMark::default(),
-                mark: told.mark,
+                mark: suspicion.mark,
             });
         };
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[index];
         let before = entry.mark;
-        if told.mark.cleared == before.cleared {
-            entry.servers.add_all(&told.servers);
-        } else if told.mark > before {
-            entry.servers = told.servers;
+        if suspicion.mark.cleared == before.cleared {
+            entry.servers.add_all(&suspicion.servers);
+        } else if suspicion.mark > before {
+            entry.servers = suspicion.servers;
         }
-        if told.mark >= before {
-            entry.own |= own;
+        if suspicion.mark >= before {
+            entry.published |= published;
         }
-        if told.mark <= before {
+        if suspicion.mark <= before {
             return None;
         }
-        entry.mark = told.mark;
-        entry.marked_at = at;
+        entry.mark = suspicion.mark;
+        entry.mark_changed_at = at;
         entry.at = at;
         Some(MarkChange {
-            fingerprint: told.fingerprint,
+            fingerprint: suspicion.fingerprint,
             before,
-            mark: told.mark,
+            mark: suspicion.mark,
         })
     }
 
     /// Makes room where there is none: first among the organisation's own, then
     /// among all, by the least suspected and oldest.
     fn insert(&mut self, entry: SuspicionEntry) {
-        let same = |held: &SuspicionEntry| held.organisation == entry.organisation;
-        let count = self.entries.iter().filter(|held| same(held)).count();
-        if count >= self.settings.most_each {
+        let same = |existing: &SuspicionEntry| existing.organisation == entry.organisation;
+        let count = self
+            .entries
+            .iter()
+            .filter(|existing| same(existing))
+            .count();
+        if count >= self.settings.max_requests_per_organisation {
             self.evict(same);
-        } else if self.entries.len() >= self.settings.most {
+        } else if self.entries.len() >= self.settings.max_requests {
             self.evict(|_| true);
         }
-        let place = self
+        let index = self
             .entries
-            .partition_point(|held| held.fingerprint < entry.fingerprint);
-        self.entries.insert(place, entry);
+            .partition_point(|existing| existing.fingerprint < entry.fingerprint);
+        self.entries.insert(index, entry);
     }
 
-    fn evict(&mut self, may_go: impl Fn(&SuspicionEntry) -> bool) {
-        let places = (0..self.entries.len()).filter(|place| may_go(&self.entries[*place]));
-        let least = places.min_by_key(|place| {
-            let entry = &self.entries[*place];
-            (weight(entry.mark), entry.at)
+    fn evict(&mut self, evictable: impl Fn(&SuspicionEntry) -> bool) {
+        let indices = (0..self.entries.len()).filter(|index| evictable(&self.entries[*index]));
+        let least = indices.min_by_key(|index| {
+            let entry = &self.entries[*index];
+            (eviction_rank(entry.mark), entry.at)
         });
-        if let Some(place) = least {
-            self.entries.remove(place);
+        if let Some(index) = least {
+            self.entries.remove(index);
         }
     }
 
@@ -383,7 +395,7 @@
 
 /// How much a mark is worth keeping. One that clears is worth more than a single
 /// crash: without it an old mark would count again.
-const fn weight(mark: SuspicionMark) -> u8 {
+const fn eviction_rank(mark: SuspicionMark) -> u8 {
     match mark.crashes {
         1 => 0,
         0 => 1,
--- a/crates/guavawell-core/tests/poison/fingerprint.rs
+++ b/crates/guavawell-core/tests/poison/fingerprint.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn organisation_host_path_and_body_make_the_digest() {
+fn organisation_host_path_and_body_make_the_fingerprint() {
     let acme = organisation("acme");
     let fingerprint = RequestFingerprint::of(Some(&acme), "desk.example", "/a/b", b"body");
     let same = RequestFingerprint::of(Some(&acme), "desk.example", "/a/b", b"body");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_digest_is_read_from_its_own_text_only() {
+fn a_fingerprint_parses_only_from_its_own_text() {
     let fingerprint = RequestFingerprint::of(None, "", "/", b"");
     assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     assert_eq!(
--- a/crates/guavawell-core/tests/poison/main.rs
+++ b/crates/guavawell-core/tests/poison/main.rs
@@ -3,5 +3,5 @@
 
 mod fingerprint;
 mod fleet;
+mod simulation;
 mod table;
-mod world;
--- a/crates/guavawell-core/tests/poison/world.rs
+++ b/crates/guavawell-core/tests/poison/simulation.rs
@@ -25,9 +25,9 @@
 /// until its first answer.
 const QUIET_MS: u64 = 3_000;
 /// Time in which all instances know what one of them saw, in milliseconds.
-pub const CONTACT_MS: u64 = 3_000;
+pub const SPREAD_MS: u64 = 3_000;
 /// The request that crashes each server which begins to run it.
-pub const KILLER: RequestFingerprint = RequestFingerprint::new(1);
+pub const CRASHER: RequestFingerprint = RequestFingerprint::new(1);
 /// A request that comes by the hundred and harms nobody.
 pub const POPULAR: RequestFingerprint = RequestFingerprint::new(2);
 
@@ -36,43 +36,43 @@
 /// Servers of one rack.
 const RACK: usize = 4;
 /// Times that a caller sends a request which fails.
-const TRIES: u32 = 2;
+const MAX_TRIES: u32 = 2;
 /// Attempts of one request.
-const ATTEMPTS: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 /// The longest and shortest time that a request takes, in milliseconds.
-const RUNS_MS: std::ops::Range<u64> = 50..2_500;
+const RUN_MS: std::ops::Range<u64> = 50..2_500;
 /// The same until the killer crashes its server.
-const KILLS_MS: std::ops::Range<u64> = 40..900;
+const CRASHER_RUN_MS: std::ops::Range<u64> = 40..900;
 /// The same until a server is back.
-const BACK_MS: std::ops::Range<u64> = 2_000..5_000;
+const RESTART_MS: std::ops::Range<u64> = 2_000..5_000;
 /// The same until a message of another instance arrives.
 const MESSAGE_MS: std::ops::Range<u64> = 2..300;
 /// The same until an instance reads a row that was written.
 const ROW_MS: std::ops::Range<u64> = 10..600;
 /// One message in so many is lost, and one in so many comes twice.
-const SPOILT: u32 = 4;
+const UNRELIABLE_ONE_IN: u32 = 4;
 
 /// A fault that is planted into the rules or the carriers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// None.
-    Sound,
+    NoFault,
     /// An answer clears nothing.
-    NoClear,
+    AnswerClearsNothing,
     /// Nobody is told anything.
-    TellNobody,
+    NothingPublished,
     /// No rows are kept, so that a process that starts knows nothing.
-    NoRows,
+    RowsNotStored,
 }
 
 /// What happens on a day, each as a mean time between two events in
 /// milliseconds; 0 is never.
 #[derive(Clone, Copy, Debug)]
-pub struct Day {
-    pub plant: Plant,
-    pub killer_ms: u64,
+pub struct Scenario {
+    pub fault: InjectedFault,
+    pub crasher_ms: u64,
     pub popular_ms: u64,
-    pub innocent_ms: u64,
+    pub harmless_ms: u64,
     pub crash_ms: u64,
     pub rack_ms: u64,
     pub restart_ms: u64,
@@ -88,8 +88,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     /// Servers that crashed under the killer.
-    pub killed: usize,
-    /// Servers that got it later than [`CONTACT_MS`] after the third of them.
+    pub crashed_servers: usize,
+    /// Servers that got it later than [`SPREAD_MS`] after the third of them.
     pub late: usize,
     /// Other requests that were refused.
     pub refused: usize,
@@ -101,14 +101,14 @@
     fingerprint: RequestFingerprint,
     instance: usize,
     server: usize,
-    began: SuspicionMark,
+    mark_at_start: SuspicionMark,
     ends_at: u64,
     attempts: u32,
     tries: u32,
 }
 
 struct Server {
-    back_at: u64,
+    up_at: u64,
 }
 
 /// A request that waits for a verdict.
@@ -121,29 +121,29 @@
 struct Message {
     arrives_at: u64,
     to: usize,
-    told: SharedSuspicion,
+    suspicion: SharedSuspicion,
 }
 
 /// A row that was written, and when each instance reads it.
-struct RowNews {
+struct RowRead {
     reads_at: u64,
     to: usize,
     entries: Vec<SharedSuspicion>,
 }
 
-pub struct World {
-    day: Day,
+pub struct FleetSimulation {
+    scenario: Scenario,
     random: Rng,
     now: u64,
-    next: u128,
+    next_fingerprint: u128,
     tables: Vec<PoisonTable>,
     servers: Vec<Server>,
     running: Vec<Attempt>,
     held: Vec<HeldRequest>,
     messages: Vec<Message>,
     rows: BTreeMap<usize, Vec<SharedSuspicion>>,
-    row_news: Vec<RowNews>,
-    third_at: Option<u64>,
+    row_reads: Vec<RowRead>,
+    third_crash_at: Option<u64>,
     outcome: Outcome,
 }
 
@@ -157,69 +157,71 @@
 }
 
 /// Plays a day.
-pub fn play(day: Day, seed: u64) -> Outcome {
-    let mut world = World {
-        day,
+pub fn run_scenario(scenario: Scenario, seed: u64) -> Outcome {
+    let mut simulation = FleetSimulation {
+        scenario,
         random: Rng::with_seed(seed),
         now: 0,
-        next: 1_000,
+        next_fingerprint: 1_000,
         tables: (0..INSTANCES).map(|_| new_table()).collect(),
-        servers: (0..SERVERS).map(|_| Server { back_at: 0 }).collect(),
+        servers: (0..SERVERS).map(|_| Server { up_at: 0 }).collect(),
         running: Vec::new(),
         held: Vec::new(),
         messages: Vec::new(),
         rows: BTreeMap::new(),
-        row_news: Vec::new(),
-        third_at: None,
+        row_reads: Vec::new(),
+        third_crash_at: None,
         outcome: Outcome::default(),
     };
-    while world.now < day.length_ms {
-        world.step();
-        world.now += STEP_MS;
+    while simulation.now < scenario.length_ms {
+        simulation.step();
+        simulation.now += STEP_MS;
     }
-    world.outcome
+    simulation.outcome
 }
 
 fn new_table() -> PoisonTable {
     PoisonTable::new(PoisonSettings::default())
 }
 
-impl World {
+impl FleetSimulation {
     fn step(&mut self) {
         self.deliver();
         let now = self.now;
         let held = self.held.extract_if(.., |held| held.until <= now);
         for request in held.collect::<Vec<HeldRequest>>() {
-            self.ask(request.fingerprint, 1, request.tries);
+            self.receive(request.fingerprint, 1, request.tries);
         }
-        let day = self.day;
-        if self.now >= day.popular_from_ms && self.happens(day.popular_ms) {
-            self.ask(POPULAR, 1, 1);
+        let scenario = self.scenario;
+        if self.now >= scenario.popular_from_ms && self.happens(scenario.popular_ms) {
+            self.receive(POPULAR, 1, 1);
         }
-        if self.happens(day.innocent_ms) {
-            self.next += 1;
-            self.ask(RequestFingerprint::new(self.next), 1, 1);
+        if self.happens(scenario.harmless_ms) {
+            self.next_fingerprint += 1;
+            self.receive(RequestFingerprint::new(self.next_fingerprint), 1, 1);
         }
         if self.now >= QUIET_MS {
-            self.disturb();
+            self.inject_events();
         }
         self.end_attempts();
     }
 
-    fn disturb(&mut self) {
-        let day = self.day;
-        if self.happens(day.killer_ms) {
-            self.ask(KILLER, 1, TRIES);
+    fn inject_events(&mut self) {
+        let scenario = self.scenario;
+        if self.happens(scenario.crasher_ms) {
+            self.receive(CRASHER, 1, MAX_TRIES);
         }
-        if self.happens(day.crash_ms) {
+        if self.happens(scenario.crash_ms) {
             let server = self.random.usize(..SERVERS);
             self.crash(server);
         }
-        if self.happens(day.rack_ms) || (day.rack_at_ms > 0 && self.now == day.rack_at_ms) {
+        if self.happens(scenario.rack_ms)
+            || (scenario.rack_at_ms > 0 && self.now == scenario.rack_at_ms)
+        {
             let first = self.random.usize(..SERVERS / RACK) * RACK;
             (first..first + RACK).for_each(|server| self.crash(server));
         }
-        if self.happens(day.restart_ms) {
+        if self.happens(scenario.restart_ms) {
             self.restart();
         }
     }
@@ -229,7 +231,7 @@
     }
 
     /// A request comes to some instance.
-    fn ask(&mut self, fingerprint: RequestFingerprint, attempts: u32, tries: u32) {
+    fn receive(&mut self, fingerprint: RequestFingerprint, attempts: u32, tries: u32) {
         let instance = self.random.usize(..INSTANCES);
         let verdict = self.tables[instance].verdict(fingerprint, at(self.now));
         if let PoisonVerdict::Undecided(span) = verdict {
@@ -242,7 +244,7 @@
         }
         if matches!(verdict, PoisonVerdict::Refused(_)) {
             self.tables[instance].refused(fingerprint, at(self.now));
-            if fingerprint != KILLER {
+            if fingerprint != CRASHER {
                 self.outcome.refused += 1;
             }
             return;
@@ -257,23 +259,25 @@
         attempts: u32,
         tries: u32,
     ) {
-        let Some(server) = self.choose(fingerprint, instance) else {
+        let Some(server) = self.choose_server(fingerprint, instance) else {
             return;
         };
-        let spans = if fingerprint == KILLER {
-            KILLS_MS
+        let spans = if fingerprint == CRASHER {
+            CRASHER_RUN_MS
         } else {
-            RUNS_MS
+            RUN_MS
         };
-        let third = self.third_at.is_some_and(|at| self.now > at + CONTACT_MS);
-        if fingerprint == KILLER && third {
+        let third = self
+            .third_crash_at
+            .is_some_and(|at| self.now > at + SPREAD_MS);
+        if fingerprint == CRASHER && third {
             self.outcome.late += 1;
         }
         self.running.push(Attempt {
             fingerprint,
             instance,
             server,
-            began: self.tables[instance].mark(fingerprint),
+            mark_at_start: self.tables[instance].mark(fingerprint),
             ends_at: self.now + self.random.u64(spans),
             attempts,
             tries,
@@ -282,8 +286,8 @@
 
     /// Any server; for a suspect one at which this instance has no other one, the
     /// same at each instance.
-    fn choose(&mut self, fingerprint: RequestFingerprint, instance: usize) -> Option<usize> {
-        let up = |server: &usize| self.servers[*server].back_at <= self.now;
+    fn choose_server(&mut self, fingerprint: RequestFingerprint, instance: usize) -> Option<usize> {
+        let up = |server: &usize| self.servers[*server].up_at <= self.now;
         let up: Vec<usize> = (0..SERVERS).filter(up).collect();
         let table = &self.tables[instance];
         if table.verdict(fingerprint, at(self.now)) != PoisonVerdict::Suspect {
@@ -294,15 +298,15 @@
                 attempt.instance == instance
                     && attempt.server == *server
                     && attempt.fingerprint != fingerprint
-                    && attempt.began.crashes > 0
+                    && attempt.mark_at_start.crashes > 0
             })
         };
-        let rank = |server: &usize| {
+        let server_rank = |server: &usize| {
             let mixed =
                 (fingerprint.short() ^ (*server as u64 + 1)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             (!others(server), mixed ^ (mixed >> 29))
         };
-        up.into_iter().max_by_key(rank)
+        up.into_iter().max_by_key(server_rank)
     }
 
     fn end_attempts(&mut self) {
@@ -311,20 +315,20 @@
             .running
             .extract_if(.., |attempt| attempt.ends_at <= now);
         for attempt in due.collect::<Vec<Attempt>>() {
-            if attempt.fingerprint == KILLER {
+            if attempt.fingerprint == CRASHER {
                 self.running.push(attempt);
                 let server = self.running.last().expect("just pushed").server;
-                self.outcome.killed += 1;
-                if self.outcome.killed == 3 {
-                    self.third_at = Some(now);
+                self.outcome.crashed_servers += 1;
+                if self.outcome.crashed_servers == 3 {
+                    self.third_crash_at = Some(now);
                 }
                 self.crash(server);
             } else {
                 self.outcome.answered += 1;
                 let table = &mut self.tables[attempt.instance];
-                if self.day.plant != Plant::NoClear {
+                if self.scenario.fault != InjectedFault::AnswerClearsNothing {
                     let change = table.answered(attempt.fingerprint, at(now));
-                    self.tell(attempt.instance, change);
+                    self.publish(attempt.instance, change);
                 }
             }
         }
@@ -334,23 +338,24 @@
     fn crash(&mut self, server: usize) {
         let life = ServerTag::of(&ServerLife {
             id: format!("s{server}").parse().expect("an id"),
-            born: Some(BirthTime::from_millis(self.servers[server].back_at)),
+            born: Some(BirthTime::from_millis(self.servers[server].up_at)),
         });
-        self.servers[server].back_at = self.now + self.random.u64(BACK_MS);
+        self.servers[server].up_at = self.now + self.random.u64(RESTART_MS);
         let lost = self
             .running
             .extract_if(.., |attempt| attempt.server == server);
         for attempt in lost.collect::<Vec<Attempt>>() {
             let table = &mut self.tables[attempt.instance];
             let now = at(self.now);
-            let change = table.crashed(attempt.fingerprint, tag(), attempt.began, life, now);
-            self.tell(attempt.instance, change);
-            self.go_on(&attempt);
+            let change =
+                table.crashed(attempt.fingerprint, tag(), attempt.mark_at_start, life, now);
+            self.publish(attempt.instance, change);
+            self.continue_after_crash(&attempt);
         }
     }
 
     /// What a request or its caller does after its server crashed.
-    fn go_on(&mut self, attempt: &Attempt) {
+    fn continue_after_crash(&mut self, attempt: &Attempt) {
         let Attempt {
             fingerprint,
             instance,
@@ -362,21 +367,23 @@
             self.tables[instance].verdict(fingerprint, at(self.now)),
             PoisonVerdict::Refused(_) | PoisonVerdict::Undecided(_)
         );
-        if attempts < ATTEMPTS && !refused && self.tables[instance].may_repeat(fingerprint) {
+        if attempts < MAX_ATTEMPTS && !refused && self.tables[instance].may_repeat(fingerprint) {
             self.send(fingerprint, instance, attempts + 1, tries);
-        } else if tries < TRIES {
-            self.ask(fingerprint, 1, tries + 1);
+        } else if tries < MAX_TRIES {
+            self.receive(fingerprint, 1, tries + 1);
         }
     }
 
     /// Tells a change to all others, and writes the own row.
-    fn tell(&mut self, from: usize, change: Option<MarkChange>) {
-        let Some(change) = change.filter(|_| self.day.plant != Plant::TellNobody) else {
+    fn publish(&mut self, from: usize, change: Option<MarkChange>) {
+        let Some(change) =
+            change.filter(|_| self.scenario.fault != InjectedFault::NothingPublished)
+        else {
             return;
         };
-        let told = self.tables[from].shared(change.fingerprint, at(self.now));
+        let suspicion = self.tables[from].shared(change.fingerprint, at(self.now));
         for to in (0..INSTANCES).filter(|to| *to != from) {
-            let copies = match self.random.u32(..SPOILT) {
+            let copies = match self.random.u32(..UNRELIABLE_ONE_IN) {
                 0 => 0,
                 1 => 2,
                 _ => 1,
@@ -385,15 +392,15 @@
                 self.messages.push(Message {
                     arrives_at: self.now + self.random.u64(MESSAGE_MS),
                     to,
-                    told: told.expect("it just changed"),
+                    suspicion: suspicion.expect("it just changed"),
                 });
             }
         }
-        if self.day.plant != Plant::NoRows {
+        if self.scenario.fault != InjectedFault::RowsNotStored {
             let entries = self.tables[from].told(at(self.now));
             self.rows.insert(from, entries.clone());
             for to in 0..INSTANCES {
-                self.row_news.push(RowNews {
+                self.row_reads.push(RowRead {
                     reads_at: self.now + self.random.u64(ROW_MS),
                     to,
                     entries: entries.clone(),
@@ -403,23 +410,28 @@
     }
 
     /// What was told was answered by what is known here.
-    fn tell_again(&mut self, from: usize, told: SharedSuspicion, change: Option<MarkChange>) {
-        self.tell(from, change.filter(|change| change.mark != told.mark));
+    fn publish_reply(
+        &mut self,
+        from: usize,
+        suspicion: SharedSuspicion,
+        change: Option<MarkChange>,
+    ) {
+        self.publish(from, change.filter(|change| change.mark != suspicion.mark));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let messages = self.messages.extract_if(.., |held| held.arrives_at <= now);
         for message in messages.collect::<Vec<Message>>() {
-            let told = message.told;
-            let change = self.tables[message.to].learn(told, false, at(now));
-            self.tell_again(message.to, told, change);
+            let suspicion = message.suspicion;
+            let change = self.tables[message.to].learn(suspicion, false, at(now));
+            self.publish_reply(message.to, suspicion, change);
         }
-        let news = self.row_news.extract_if(.., |held| held.reads_at <= now);
-        for row in news.collect::<Vec<RowNews>>() {
-            for told in row.entries {
-                let change = self.tables[row.to].learn(told, false, at(now));
-                self.tell_again(row.to, told, change);
+        let news = self.row_reads.extract_if(.., |held| held.reads_at <= now);
+        for row in news.collect::<Vec<RowRead>>() {
+            for suspicion in row.entries {
+                let change = self.tables[row.to].learn(suspicion, false, at(now));
+                self.publish_reply(row.to, suspicion, change);
             }
         }
     }
@@ -430,15 +442,15 @@
         let instance = self.random.usize(..INSTANCES);
         self.running.retain(|attempt| attempt.instance != instance);
         self.messages.retain(|message| message.to != instance);
-        self.row_news.retain(|news| news.to != instance);
+        self.row_reads.retain(|news| news.to != instance);
         let mut table = new_table();
         for (owner, entries) in &self.rows {
-            for told in entries {
-                let told = SharedSuspicion {
+            for suspicion in entries {
+                let suspicion = SharedSuspicion {
                     age: ClockSpan::default(),
-                    ..*told
+                    ..*suspicion
                 };
-                table.learn(told, *owner == instance, at(self.now));
+                table.learn(suspicion, *owner == instance, at(self.now));
             }
         }
         self.tables[instance] = table;
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -56,7 +56,7 @@
         assert!(!is_refused(&table, REQUEST, NOW), "after {crashes}");
         crash(&mut table, REQUEST, NOW);
     }
-    let settles = PoisonSettings::default().settles_in;
+    let settles = PoisonSettings::default().settle_span;
     assert_eq!(
         table.verdict(REQUEST, NOW),
         PoisonVerdict::Undecided(settles)
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn one_request_takes_two_servers_at_its_first_sight_at_most() {
+fn no_retry_follows_a_second_crash() {
     let mut table = table();
     crash(&mut table, REQUEST, NOW);
     assert!(table.may_repeat(REQUEST));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn servers_that_fail_together_are_one_crash_to_a_popular_request() {
+fn servers_that_crash_together_count_as_one_crash() {
     let mut table = table();
     let began = table.mark(REQUEST);
     for number in 0..6 {
@@ -104,18 +104,18 @@
 /// Guards against a request that is refused though it crashed no server: a cut that
 /// answers with resets let two instances see the same crash one after the other.
 #[test]
-fn a_server_whose_crash_two_instances_saw_crashed_once() {
+fn a_crash_seen_by_two_instances_counts_once() {
     let (mut first, mut second) = (table(), table());
     let began = first.mark(REQUEST);
     first.crashed(REQUEST, tag("acme"), began, server("s1"), NOW);
-    let told = first.shared(REQUEST, NOW).expect("a suspicion");
-    second.learn(told, false, NOW);
+    let suspicion = first.shared(REQUEST, NOW).expect("a suspicion");
+    second.learn(suspicion, false, NOW);
     let began = second.mark(REQUEST);
     let seen = second.crashed(REQUEST, tag("acme"), began, server("s1"), NOW);
     assert_eq!((seen, second.mark(REQUEST).crashes), (None, 1));
     second.crashed(REQUEST, tag("acme"), began, server("s2"), NOW);
-    let told = second.shared(REQUEST, NOW).expect("a suspicion");
-    first.learn(told, false, NOW);
+    let suspicion = second.shared(REQUEST, NOW).expect("a suspicion");
+    first.learn(suspicion, false, NOW);
     let began = first.mark(REQUEST);
     for again in ["s1", "s2"] {
         first.crashed(REQUEST, tag("acme"), began, server(again), NOW);
@@ -131,16 +131,16 @@
 }
 
 #[test]
-fn a_complete_answer_takes_all_evidence_back_and_what_is_told_late_changes_nothing() {
+fn a_complete_answer_clears_a_request_and_late_suspicions_change_nothing() {
     let mut table = table();
     for _ in 0..3 {
         crash(&mut table, REQUEST, NOW);
     }
-    let told = table.shared(REQUEST, NOW).expect("a suspicion");
+    let suspicion = table.shared(REQUEST, NOW).expect("a suspicion");
     let began = table.mark(REQUEST);
     assert!(table.answered(REQUEST, NOW).is_some());
     assert_eq!(table.verdict(REQUEST, NOW), PoisonVerdict::Clear);
-    assert_eq!(table.learn(told, false, NOW), None);
+    assert_eq!(table.learn(suspicion, false, NOW), None);
     // An attempt that began before the answer does not count either.
     table.crashed(REQUEST, tag("acme"), began, server("late"), NOW);
     assert_eq!(table.verdict(REQUEST, NOW), PoisonVerdict::Clear);
@@ -148,50 +148,50 @@
 }
 
 #[test]
-fn an_answer_shortly_before_a_crash_is_known_tells_as_much() {
-    let tells = PoisonSettings::default().answer_tells.as_millis();
-    let mut told = table();
+fn a_recent_answer_clears_a_crash_that_is_reported_later() {
+    let answer_span = PoisonSettings::default().answer_span.as_millis();
+    let mut other = table();
     for _ in 0..3 {
-        crash(&mut told, REQUEST, NOW);
+        crash(&mut other, REQUEST, NOW);
     }
-    let told = told.shared(REQUEST, NOW).expect("a suspicion");
+    let suspicion = other.shared(REQUEST, NOW).expect("a suspicion");
     let mut table = table();
     table.answered(REQUEST, NOW);
-    crash(&mut table, REQUEST, later(tells - 1));
+    crash(&mut table, REQUEST, later(answer_span - 1));
     assert_eq!(table.mark(REQUEST), SuspicionMark::default());
-    let change = table.learn(told, false, later(tells - 1));
+    let change = table.learn(suspicion, false, later(answer_span - 1));
     assert_eq!(
         change.map(|change| change.mark),
-        Some(told.mark.after_answer())
+        Some(suspicion.mark.after_answer())
     );
     // A request that was answered long ago may crash servers now.
-    crash(&mut table, REQUEST, later(tells));
+    crash(&mut table, REQUEST, later(answer_span));
     assert_eq!(table.mark(REQUEST).crashes, 1);
 }
 
 #[test]
-fn belief_lasts_while_the_request_comes_and_ends_with_a_pause() {
-    let lasts = PoisonSettings::default().lasts.as_millis();
+fn a_suspicion_is_kept_while_the_request_recurs_and_expires_otherwise() {
+    let retention = PoisonSettings::default().retention.as_millis();
     let mut table = table();
     for _ in 0..3 {
         crash(&mut table, REQUEST, NOW);
     }
-    let PoisonVerdict::Refused(rest) = table.verdict(REQUEST, later(lasts - 1)) else {
+    let PoisonVerdict::Refused(rest) = table.verdict(REQUEST, later(retention - 1)) else {
         panic!("it is refused");
     };
     assert_eq!(rest.as_millis(), 1);
-    table.refused(REQUEST, later(lasts - 1));
-    table.sweep(later(lasts));
-    assert!(is_refused(&table, REQUEST, later(lasts)));
-    assert!(!is_refused(&table, REQUEST, later(2 * lasts)));
-    table.sweep(later(2 * lasts));
+    table.refused(REQUEST, later(retention - 1));
+    table.sweep(later(retention));
+    assert!(is_refused(&table, REQUEST, later(retention)));
+    assert!(!is_refused(&table, REQUEST, later(2 * retention)));
+    table.sweep(later(2 * retention));
     assert!(table.entries().is_empty());
 }
 
 #[test]
-fn what_is_too_old_when_it_is_told_is_not_believed() {
-    let lasts = PoisonSettings::default().lasts;
-    let told = |age| SharedSuspicion {
+fn an_expired_suspicion_is_not_merged() {
+    let retention = PoisonSettings::default().retention;
+    let suspicion = |age| SharedSuspicion {
         fingerprint: REQUEST,
         organisation: tag("acme"),
         mark: SuspicionMark {
@@ -203,15 +203,15 @@
     };
     let list = SuspicionList {
         told_at: Some(later(0)),
-        entries: vec![told(ClockSpan::default())],
+        entries: vec![suspicion(ClockSpan::default())],
     };
     let ages = |now| -> Vec<u64> { list.aged(now).map(|entry| entry.age.as_millis()).collect() };
     assert_eq!(ages(Some(later(40))), [40]);
     assert_eq!(ages(None), [0]);
     let mut table = table();
-    assert_eq!(table.learn(told(lasts), false, NOW), None);
-    let nearly = ClockSpan::from_millis(lasts.as_millis() - 5);
-    assert!(table.learn(told(nearly), false, NOW).is_some());
+    assert_eq!(table.learn(suspicion(retention), false, NOW), None);
+    let nearly = ClockSpan::from_millis(retention.as_millis() - 5);
+    assert!(table.learn(suspicion(nearly), false, NOW).is_some());
     assert!(is_refused(&table, REQUEST, later(4)));
     assert!(!is_refused(&table, REQUEST, later(5)));
 }
@@ -223,7 +223,7 @@
     for _ in 0..3 {
         crash(&mut table, REQUEST, NOW);
     }
-    let flood = settings.most_each * 3;
+    let flood = settings.max_requests_per_organisation * 3;
     for number in 0..flood {
         let fingerprint = RequestFingerprint::new(1_000 + number as u128);
         for _ in 0..4 {
@@ -238,7 +238,10 @@
             );
         }
     }
-    assert_eq!(table.entries().len(), settings.most_each + 1);
+    assert_eq!(
+        table.entries().len(),
+        settings.max_requests_per_organisation + 1
+    );
     assert!(is_refused(&table, REQUEST, later(1_000)));
 }
 
@@ -249,35 +252,35 @@
     for _ in 0..3 {
         crash(&mut table, REQUEST, NOW);
     }
-    for number in 0..settings.most * 2 {
+    for number in 0..settings.max_requests * 2 {
         let fingerprint = RequestFingerprint::new(1_000 + number as u128);
         let name = format!("o{}", number % 50);
         let began = SuspicionMark::default();
         let server = server(&format!("s{number}"));
         table.crashed(fingerprint, tag(&name), began, server, later(number as u64));
     }
-    assert_eq!(table.entries().len(), settings.most);
+    assert_eq!(table.entries().len(), settings.max_requests);
     assert!(is_refused(&table, REQUEST, later(1_000)));
-    let told = table.told(later(0));
-    assert_eq!(told.len(), settings.most_told);
-    assert_eq!(told[0].fingerprint, REQUEST);
+    let published = table.told(later(0));
+    assert_eq!(published.len(), settings.max_published);
+    assert_eq!(published[0].fingerprint, REQUEST);
 }
 
 #[test]
-fn an_instance_tells_what_it_saw_and_what_its_earlier_life_told() {
+fn an_instance_publishes_what_it_saw_and_its_previous_row() {
     let mut table = table();
-    let told = |fingerprint| SharedSuspicion {
+    let suspicion = |fingerprint| SharedSuspicion {
         fingerprint: RequestFingerprint::new(fingerprint),
         organisation: tag("acme"),
         mark: SuspicionMark::default().after_crash(),
         servers: CrashedServers::default(),
         age: ClockSpan::default(),
     };
-    table.learn(told(1), false, NOW);
-    table.learn(told(2), true, NOW);
+    table.learn(suspicion(1), false, NOW);
+    table.learn(suspicion(2), true, NOW);
     // First learned of another, then found in the own row as well.
-    table.learn(told(3), false, NOW);
-    table.learn(told(3), true, NOW);
+    table.learn(suspicion(3), false, NOW);
+    table.learn(suspicion(3), true, NOW);
     crash(&mut table, REQUEST, NOW);
     let mut fingerprints: Vec<_> = table
         .told(NOW)
@@ -292,11 +295,11 @@
 fn a_full_row_stays_far_below_what_the_store_takes() {
     let settings = PoisonSettings::default();
     let mut table = table();
-    for number in 0..settings.most_told * 2 {
+    for number in 0..settings.max_published * 2 {
         let fingerprint = RequestFingerprint::new(u128::MAX - number as u128);
         crash(&mut table, fingerprint, NOW);
     }
-    let told = |count: usize| {
+    let encoded_bytes = |count: usize| {
         let mut entries = table.told(later(3_600_000));
         entries.truncate(count);
         let list = SuspicionList {
@@ -307,9 +310,9 @@
     };
     println!(
         "bytes of 1, 20, all entries: {}, {}, {}",
-        told(1),
-        told(20),
-        told(settings.most_told)
+        encoded_bytes(1),
+        encoded_bytes(20),
+        encoded_bytes(settings.max_published)
     );
-    assert!(told(settings.most_told) <= 16 * 1024);
+    assert!(encoded_bytes(settings.max_published) <= 16 * 1024);
 }
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -172,8 +172,8 @@
     fn clear(&self, change: Option<MarkChange>, cause: &dyn std::fmt::Display) {
         if let Some(change) = change {
             self.note_change(change, cause);
-            let refused_from = self.table.borrow().settings().refused_from;
-            let urgent = change.before.crashes >= refused_from;
+            let refusal_threshold = self.table.borrow().settings().refusal_threshold;
+            let urgent = change.before.crashes >= refusal_threshold;
             self.announce(change, if urgent { CRASH_PAUSE } else { CLEAR_PAUSE });
         }
     }
@@ -277,10 +277,10 @@
     }
 
     fn note_change(&self, change: MarkChange, cause: &dyn std::fmt::Display) {
-        let refused_from = self.table.borrow().settings().refused_from;
+        let refusal_threshold = self.table.borrow().settings().refusal_threshold;
         let kind = match change.mark.crashes {
             0 => "poison.cleared",
-            crashes if crashes < refused_from => "poison.suspected",
+            crashes if crashes < refusal_threshold => "poison.suspected",
             _ => "poison.refused",
         };
         metrics::counter!("guavawell_forward_poison_changes_total", "kind" => kind).increment(1);
@@ -320,7 +320,7 @@
         let table = self.table.borrow();
         let mut news = self.news.borrow_mut();
         // A message is no longer than a row; what is left is told next.
-        let rest = news.len().min(table.settings().most_told);
+        let rest = news.len().min(table.settings().max_published);
         let rest = news.split_off(rest);
         let news = std::mem::replace(&mut *news, rest);
         news.into_iter()
