--- a/crates/guavawell-core/src/poison/fingerprint.rs
+++ b/crates/guavawell-core/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same: caller, path and body.
+//! Request fingerprints: hashes of the organisation, host, path and body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,18 +9,24 @@
 
 use crate::id::OrganisationId;
 
-/// Context of the hash, so that it equals no other hash of the same bytes.
+/// Key derivation context, so that the hash differs from other hashes of the
+/// same bytes.
 const CONTEXT: &str = "guavawell request fingerprint";
-/// Digits of a fingerprint in text.
+/// Hexadecimal digits of a fingerprint in text form.
 const DIGITS: usize = 32;
 
-/// A text that is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no fingerprint, as in `00f1e2d3c4b5a69788796a5b4c3d2e1f`")]
+#[error(
+    "`{0}` is not a fingerprint; expected {DIGITS} hexadecimal digits, \
+     for example `00f1e2d3c4b5a69788796a5b4c3d2e1f`"
+)]
 pub struct FingerprintError(Box<str>);
 
-/// Names a request by its organisation, path and body. Nothing of them can be
-/// read from it, and no two organisations share one.
+/// Identifies a request by a hash of its organisation, host, path and body.
+///
+/// The hash reveals nothing about these. Equal requests of two organisations
+/// have different fingerprints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(u128);
 
@@ -31,7 +37,7 @@
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         let organisation = organisation.map_or("", OrganisationId::as_str);
         for part in [organisation.as_bytes(), host.as_bytes(), path.as_bytes()] {
-            // Lengths keep the parts apart.
+            // The length prefix keeps different splits into parts distinct.
             hasher.update(&part.len().to_le_bytes());
             hasher.update(part);
         }
@@ -41,13 +47,13 @@
         Self(u128::from_le_bytes(bytes))
     }
 
-    /// A fingerprint of the given value.
+    /// Wraps a plain number.
     #[must_use]
     pub const fn new(value: u128) -> Self {
         Self(value)
     }
 
-    /// Half of it, which is as evenly spread as the whole.
+    /// A 64-bit hash made of half of the fingerprint.
     #[must_use]
     pub fn short(self) -> u64 {
         let bytes = self.0.to_le_bytes();
@@ -57,15 +63,15 @@
     }
 }
 
-/// Tells the suspicions of one organisation from those of others. Two may share
-/// one; they then share the room that each has.
+/// A short hash of an organisation. Two organisations with equal hashes share
+/// the limit on entries per organisation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrganisationTag(u32);
 
 impl OrganisationTag {
-    /// The tag of an organisation, or of requests that are nobody's.
+    /// The tag of an organisation, or of all requests without one.
     #[must_use]
     pub fn of(organisation: Option<&OrganisationId>) -> Self {
         let name = organisation.map_or("", OrganisationId::as_str);
--- a/crates/guavawell-core/src/poison/mark.rs
+++ b/crates/guavawell-core/src/poison/mark.rs
@@ -1,25 +1,27 @@
-//! How far a request is suspected.
+//! The degree of suspicion against a request.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Crashes in a row under one request, and how often an answer cleared it.
-/// Of two marks of one request the greater one holds.
+/// Consecutive crashes of one request, and how often they were reset.
+///
+/// Of two marks for the same request, the greater one wins. `cleared` is
+/// compared first, so a reset wins over any number of earlier crashes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct SuspicionMark {
-    /// Answers that took back all evidence before them.
+    /// Number of resets of `crashes`, each by a complete answer or an operator.
     pub cleared: u32,
-    /// Crashes since, each under an attempt that began when the one before it
-    /// was known.
+    /// Consecutive crashes since the last reset. Each attempt started when the
+    /// previous crash was already known.
     pub crashes: u8,
 }
 
 impl SuspicionMark {
-    /// The mark after a server crashed under an attempt that began at this one.
+    /// The mark after a crash during an attempt that started with this mark.
     #[must_use]
     pub const fn after_crash(self) -> Self {
         Self {
@@ -28,7 +30,7 @@
         }
     }
 
-    /// The mark after a complete answer.
+    /// The mark after a complete answer, which resets the crashes.
     #[must_use]
     pub const fn after_answer(self) -> Self {
         Self {
--- a/crates/guavawell-core/src/poison/mod.rs
+++ b/crates/guavawell-core/src/poison/mod.rs
@@ -1,20 +1,21 @@
-//! Requests that crash the servers that run them.
+//! Detection of poison requests: requests that crash the servers that run them.
 //!
-//! Such a request comes again under another id, at any instance; each server
-//! that begins to run it is lost with everything that it runs. A crash alone
-//! says little: all requests at the server were lost with it, and machines,
-//! racks and processes fail for other reasons too. So crashes count only in a
-//! row: an attempt that began after a crash was known, and whose server crashed
-//! as well, is evidence, and a complete answer takes all evidence back. A server's life ends once:
-//! two instances that saw the same one crash saw one crash. A
-//! popular request at three servers that fail together has one crash to its
-//! name, and the next answer to it leaves none.
+//! A client retries such a request under a new id, at any instance. Each server
+//! that starts to run it crashes, and with it every other request on that
+//! server. One crash is weak evidence: all requests on the server failed
+//! together, and machines, racks and processes fail for other reasons too.
+//! Therefore only consecutive crashes count: an attempt counts if it started
+//! after the previous crash was known and its own server crashed as well. A
+//! complete answer resets the count. A crash that several instances observe
+//! counts once, because a server incarnation can crash only once. If three servers
+//! that run a popular request fail together, its count is one, and the next
+//! answer resets it to zero.
 //!
-//! What is believed is a [`SuspicionMark`] for each [`RequestFingerprint`]. Marks are
-//! ordered and the greater one holds, so that instances may tell each other
-//! theirs in any order, late, twice or not at all.
+//! The state per [`RequestFingerprint`] is a [`SuspicionMark`]. Marks are
+//! ordered and the greater of two wins, so instances can exchange them in any
+//! order, late, repeatedly or not at all.
 //!
-//! This folder does no I/O and reads no clock.
+//! This module does no I/O and reads no clock.
 
 mod fingerprint;
 mod mark;
--- a/crates/guavawell-core/src/poison/server.rs
+++ b/crates/guavawell-core/src/poison/server.rs
@@ -1,43 +1,44 @@
-//! Which servers' crashes are held against a request.
+//! The servers whose crashes count against a request.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::forward::ServerLife;
 
-/// Servers that are remembered for one request: as many as convict it.
+/// Servers remembered per request, equal to the default refusal threshold.
 const MAX_SERVERS: usize = 3;
 
-/// Tells the lives of servers apart.
+/// A short hash that identifies one incarnation of a server. Zero means none.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ServerTag(u32);
 
 impl ServerTag {
-    /// The tag of a server's life.
+    /// The tag of one incarnation of a server.
     #[must_use]
     pub fn of(life: &ServerLife) -> Self {
         let hash = blake3::hash(life.to_string().as_bytes());
         let [first, second, third, fourth, ..] = *hash.as_bytes();
-        // Zero stands for no server.
+        // Zero is reserved for an empty place.
         Self(u32::from_le_bytes([first, second, third, fourth]).max(1))
     }
 }
 
-/// Servers whose crashes are held against a request: each life ends once only,
-/// whoever tells of it.
+/// The last servers whose crashes count against a request. A crash that is
+/// reported by several instances counts once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CrashedServers([ServerTag; MAX_SERVERS]);
 
 impl CrashedServers {
-    /// Whether a server's crash is held against the request already.
+    /// Whether the crash of `server` is already counted.
     #[must_use]
     pub fn contains(&self, server: ServerTag) -> bool {
         self.0.contains(&server)
     }
 
-    /// Holds one more crash against the request; the one added first makes room.
+    /// Adds a crashed server in place of the oldest one. Does nothing if it is
+    /// already counted.
     pub fn add(&mut self, server: ServerTag) {
         if !self.contains(server) {
             self.0.rotate_left(1);
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Adds all that others hold against the request.
+    /// Adds all servers of `others`.
     pub fn add_all(&mut self, others: &Self) {
         let servers = others
             .0
--- a/crates/guavawell-core/src/poison/shared.rs
+++ b/crates/guavawell-core/src/poison/shared.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of suspected requests.
+//! Suspicions as instances exchange them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,33 +10,35 @@
 use crate::poison::RequestFingerprint;
 use crate::poison::SuspicionMark;
 
-/// What one instance believes of one request.
+/// The suspicion of one instance against one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedSuspicion {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub organisation: OrganisationTag,
-    /// How far it is suspected.
+    /// The degree of suspicion.
     pub mark: SuspicionMark,
-    /// The servers whose crashes the mark counts.
+    /// The last servers whose crashes `mark` counts.
     pub servers: CrashedServers,
-    /// How long the mark had not changed when this was told.
+    /// Time since the mark changed or the request was last refused, when this
+    /// was sent.
     pub age: ClockSpan,
 }
 
-/// Several of them, told at one time.
+/// Suspicions that were sent or stored together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionList {
-    /// The store's steady time when this was told, where it lies in the store.
+    /// The store's monotonic time when the list was written. `None` in a message
+    /// between instances.
     pub told_at: Option<ClockTime>,
-    /// The suspicions.
+    /// The suspicions, with their ages at that time.
     pub entries: Vec<SharedSuspicion>,
 }
 
 impl SuspicionList {
-    /// The entries with their ages at the store's time `now`; those of a list
-    /// that was told at no known time count as just told.
+    /// The entries with their ages advanced to the store's time `now`. If either
+    /// time is unknown, the ages stay as they were sent.
     pub fn aged(&self, now: Option<ClockTime>) -> impl Iterator<Item = SharedSuspicion> {
         let passed = match (self.told_at, now) {
             (Some(told), Some(now)) => now.since(told),
--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -1,4 +1,4 @@
-//! What one instance believes of requests that may crash servers.
+//! The table of suspected requests of one instance.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -12,31 +12,33 @@
 use crate::poison::SharedSuspicion;
 use crate::poison::SuspicionMark;
 
-/// Bounds of belief.
+/// Thresholds, time spans and sizes of a [`PoisonTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoisonSettings {
-    /// Crashes in a row from which on a request is refused.
+    /// Consecutive crashes from which a request is refused.
     pub refusal_threshold: u8,
-    /// Crashes in a row from which on an attempt is not followed by another one
-    /// of the same request.
+    /// Consecutive crashes from which a request is no longer retried after a
+    /// failed attempt.
     pub single_attempt_threshold: u8,
-    /// How long a mark lasts after its last change or refusal. One that clears
-    /// lasts as long as any that it took back.
+    /// How long an entry is kept after its mark changed or its request was last
+    /// refused. A mark that was reset is kept as long, so that it outlives the
+    /// earlier marks that other instances may still send.
     pub retention: ClockSpan,
-    /// How long a request with so many crashes waits for what others know of it
-    /// before it is refused: an answer that one of them saw is told in turn.
+    /// How long a request is held after its crashes reached
+    /// `refusal_threshold`, before it is refused. In this time another instance
+    /// that saw an answer can send the reset.
     pub settle_span: ClockSpan,
-    /// How long a complete answer tells that a request crashes no servers, also
-    /// where a crash becomes known only after it.
+    /// How long after a complete answer crashes of the request are ignored. A
+    /// crash that preceded the answer may become known only after it.
     pub answer_span: ClockSpan,
-    /// Answers that are remembered: popular requests are among any thousand.
+    /// Number of recent answers remembered. Popular requests occur in any
+    /// thousand answers.
     pub max_answers: usize,
-    /// Requests that are remembered: about 40 bytes each.
+    /// Most entries in the table, about 40 bytes each.
     pub max_requests: usize,
-    /// Requests of one organisation that are remembered, so that none can push
-    /// out what is believed of others.
+    /// Most entries of one organisation, so that none can evict those of others.
     pub max_requests_per_organisation: usize,
-    /// Requests that are told to others at a time.
+    /// Most entries in one row of the store or one message to other instances.
     pub max_published: usize,
 }
 
@@ -56,42 +58,44 @@
     }
 }
 
-/// What is to be done with a request.
+/// How to handle a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoisonVerdict {
-    /// Nothing is believed of it.
+    /// The request is not suspected.
     Clear,
-    /// Servers crashed under it; it is sent, apart from other suspects.
+    /// The request is suspected: send it to a server without other suspected
+    /// requests.
     Suspect,
-    /// It is held for so long, until others had time to tell what they know.
+    /// Hold the request for this long, so that other instances can send a reset.
     Undecided(ClockSpan),
-    /// It is refused, for so long if it does not come again.
+    /// Refuse the request. The refusal expires after this long, and each refused
+    /// request restarts that time.
     Refused(ClockSpan),
 }
 
-/// What is believed of one request.
+/// One suspected request in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionEntry {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub organisation: OrganisationTag,
-    /// How far it is suspected.
+    /// The degree of suspicion.
     pub mark: SuspicionMark,
-    /// The servers whose crashes the mark counts.
+    /// The last servers whose crashes `mark` counts.
     servers: CrashedServers,
-    /// When the mark changed.
+    /// When the mark last changed.
     pub mark_changed_at: ClockTime,
-    /// When the mark changed, or the request was last refused.
+    /// When the mark last changed or the request was last refused.
     pub at: ClockTime,
-    /// Whether this instance tells it to those that read its row.
+    /// Whether this instance publishes the entry in its row of the store.
     published: bool,
 }
 
-/// A change of belief.
+/// A change of the mark of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MarkChange {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
     /// The mark before.
     pub before: SuspicionMark,
@@ -99,18 +103,18 @@
     pub mark: SuspicionMark,
 }
 
-/// Requests that may crash servers, as one instance knows them.
+/// The suspected requests that one instance knows of, and its recent answers.
 #[derive(Clone, Debug)]
 pub struct PoisonTable {
     settings: PoisonSettings,
     /// Sorted by fingerprint.
     entries: Vec<SuspicionEntry>,
-    /// Requests that were answered here lately, oldest first.
+    /// Requests that this instance answered recently, oldest first.
     answers: VecDeque<(ClockTime, RequestFingerprint)>,
 }
 
 impl PoisonTable {
-    /// A table that knows nothing.
+    /// An empty table.
     #[must_use]
     pub const fn new(settings: PoisonSettings) -> Self {
         Self {
@@ -120,26 +124,26 @@
         }
     }
 
-    /// Its settings.
+    /// The settings of the table.
     #[must_use]
     pub const fn settings(&self) -> &PoisonSettings {
         &self.settings
     }
 
-    /// All that is believed, sorted by fingerprint.
+    /// All entries, sorted by fingerprint.
     #[must_use]
     pub fn entries(&self) -> &[SuspicionEntry] {
         &self.entries
     }
 
-    /// How far a request is suspected.
+    /// The mark of a request, or the default if it is not in the table.
     #[must_use]
     pub fn mark(&self, fingerprint: RequestFingerprint) -> SuspicionMark {
         self.find(fingerprint)
             .map_or(SuspicionMark::default(), |index| self.entries[index].mark)
     }
 
-    /// What is to be done with a request.
+    /// How to handle a request.
     #[must_use]
     pub fn verdict(&self, fingerprint: RequestFingerprint, now: ClockTime) -> PoisonVerdict {
         let Ok(index) = self.find(fingerprint) else {
@@ -158,22 +162,23 @@
         }
     }
 
-    /// Whether another attempt of the same request may follow one that failed.
+    /// Whether the request may be retried after a failed attempt.
     #[must_use]
     pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
         self.mark(fingerprint).crashes < self.settings.single_attempt_threshold
     }
 
-    /// A refused request came again: it is remembered for longer.
+    /// Records that a request was refused, which restarts its retention.
     pub fn refused(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
         if let Ok(index) = self.find(fingerprint) {
             self.entries[index].at = now;
         }
     }
 
-    /// A server crashed under an attempt that began when the request had the
-    /// mark `mark_at_start`. One whose crash is counted already, since another instance
-    /// saw it too, tells nothing more.
+    /// Records that a server crashed during an attempt, which started when the
+    /// request had `mark_at_start`. Ignored if this crash is already counted
+    /// because another instance saw it too, or if the request was answered
+    /// recently.
     pub fn crashed(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -197,7 +202,7 @@
         self.merge(suspicion, true, now)
     }
 
-    /// The request was answered completely: it crashes no servers.
+    /// Records a complete answer, which resets the crashes of the request.
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -210,7 +215,7 @@
         self.acquit(fingerprint, now)
     }
 
-    /// Takes back all evidence against a request.
+    /// Resets the crashes of a request. `None` if it has none.
     pub fn acquit(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -230,8 +235,10 @@
         self.merge(suspicion, true, now)
     }
 
-    /// Another instance, or an earlier life of this one, told what it believes.
-    /// If the request was answered here lately, that is to be told in turn.
+    /// Merges a suspicion from another instance or from an earlier run of this
+    /// one. If this instance answered the request recently, the crashes are reset
+    /// at once, and the returned change is that reset, to be sent to the others.
+    /// `published` is set for suspicions from this instance's own row.
     pub fn learn(
         &mut self,
         suspicion: SharedSuspicion,
@@ -245,7 +252,7 @@
         self.acquit(suspicion.fingerprint, now).or(Some(change))
     }
 
-    /// What other instances are told of a request, if anything is known of it.
+    /// The suspicion against a request, to be sent to other instances.
     #[must_use]
     pub fn shared(
         &self,
@@ -256,7 +263,8 @@
         Some(self.entries[index].shared(now))
     }
 
-    /// What this instance saw itself, the most suspected and newest first.
+    /// The entries for this instance's row, in descending order of suspicion
+    /// and newest first among equals.
     #[must_use]
     pub fn told(&self, now: ClockTime) -> Vec<SharedSuspicion> {
         let published = self.entries.iter().filter(|entry| entry.published);
@@ -269,14 +277,14 @@
             .collect()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired entries.
     pub fn sweep(&mut self, now: ClockTime) {
         let retention = self.settings.retention;
         self.entries.retain(|entry| now < entry.at + retention);
     }
 
-    /// The servers that are held against a request since the answer that `mark`
-    /// counts last.
+    /// The servers counted against a request, if its entry has had no reset
+    /// since `mark`.
     fn crashed_servers(
         &self,
         fingerprint: RequestFingerprint,
@@ -344,8 +352,8 @@
         })
     }
 
-    /// Makes room where there is none: first among the organisation's own, then
-    /// among all, by the least suspected and oldest.
+    /// Inserts an entry. Evicts another one if the organisation has reached its
+    /// limit, else if the table is full: the lowest rank first, then the oldest.
     fn insert(&mut self, entry: SuspicionEntry) {
         let same = |existing: &SuspicionEntry| existing.organisation == entry.organisation;
         let count = self
@@ -393,8 +401,8 @@
     }
 }
 
-/// How much a mark is worth keeping. One that clears is worth more than a single
-/// crash: without it an old mark would count again.
+/// Entries with the lowest rank are evicted first. A reset ranks above a single
+/// crash: without it, an old mark from another instance would count again.
 const fn eviction_rank(mark: SuspicionMark) -> u8 {
     match mark.crashes {
         1 => 0,
--- a/crates/guavawell-core/tests/poison/fingerprint.rs
+++ b/crates/guavawell-core/tests/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Which requests have equal fingerprints, and the text form of a fingerprint.
 
 use guavawell_core::id::OrganisationId;
 use guavawell_core::poison::RequestFingerprint;
@@ -41,6 +41,6 @@
     ];
     for text in texts {
         let error = text.parse::<RequestFingerprint>().expect_err(text);
-        assert!(error.to_string().contains("is no fingerprint"));
+        assert!(error.to_string().contains("is not a fingerprint"));
     }
 }
--- a/crates/guavawell-core/tests/poison/fleet.rs
+++ b/crates/guavawell-core/tests/poison/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet that tells what it saw: the request that crashes servers is stopped
-//! and no other one is refused, whatever else fails; each planted fault shows.
+//! A simulated fleet refuses the request that crashes servers and no other one
+//! while servers, racks and instances fail. Each injected fault breaks this.
 
 use crate::simulation::InjectedFault;
 use crate::simulation::Outcome;
@@ -7,7 +7,7 @@
 use crate::simulation::run_scenario;
 
 const SEEDS: u64 = 120;
-/// Servers that such a request may get once all know of it.
+/// Most attempts of the crashing request after all instances know of it.
 const MAX_LATE: usize = 3;
 
 fn run_all_seeds(scenario: Scenario) -> Vec<Outcome> {
@@ -48,8 +48,8 @@
     length_ms: 40_000,
 };
 
-/// A request that has just become popular when a rack fails: no answer to it
-/// tells that it is innocent.
+/// A request that has just become popular when a rack fails, so that no answer
+/// to it has reset its crashes yet.
 const NEWLY_POPULAR: Scenario = Scenario {
     crasher_ms: 0,
     popular_ms: 15,
--- a/crates/guavawell-core/tests/poison/main.rs
+++ b/crates/guavawell-core/tests/poison/main.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the servers that run them: fingerprints, what one instance
-//! believes, and a fleet whose instances tell each other.
+//! Requests that crash the servers that run them: fingerprints, the table of one
+//! instance, and a simulated fleet whose instances exchange suspicions.
 
 mod fingerprint;
 mod fleet;
--- a/crates/guavawell-core/tests/poison/simulation.rs
+++ b/crates/guavawell-core/tests/poison/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet of instances before servers: requests run, servers crash, and what
-//! one instance saw reaches the others late, twice or never.
+//! Simulation of a fleet of instances and servers: requests run, servers crash,
+//! and suspicions reach other instances late, twice or never.
 
 use std::collections::BTreeMap;
 
@@ -20,53 +20,53 @@
 
 /// Time between two steps, in milliseconds.
 pub const STEP_MS: u64 = 10;
-/// Time from a day's begin in which nothing fails: a popular request is answered
-/// before the first crash. Of one that is new nothing tells it from the killer
-/// until its first answer.
+/// Time at the start without failures, in milliseconds, so that a popular request
+/// is answered before the first crash. Until its first answer, a new request
+/// cannot be told apart from one that crashes servers.
 const QUIET_MS: u64 = 3_000;
-/// Time in which all instances know what one of them saw, in milliseconds.
+/// Time in which a suspicion reaches all instances, in milliseconds.
 pub const SPREAD_MS: u64 = 3_000;
-/// The request that crashes each server which begins to run it.
+/// The request that crashes each server that runs it.
 pub const CRASHER: RequestFingerprint = RequestFingerprint::new(1);
-/// A request that comes by the hundred and harms nobody.
+/// A harmless request that is sent hundreds of times.
 pub const POPULAR: RequestFingerprint = RequestFingerprint::new(2);
 
 const INSTANCES: usize = 6;
 const SERVERS: usize = 12;
-/// Servers of one rack.
+/// Servers per rack.
 const RACK: usize = 4;
-/// Times that a caller sends a request which fails.
+/// Most times that a client sends a failing request.
 const MAX_TRIES: u32 = 2;
-/// Attempts of one request.
+/// Most attempts that an instance makes for one request.
 const MAX_ATTEMPTS: u32 = 2;
-/// The longest and shortest time that a request takes, in milliseconds.
+/// Running time of a harmless request, in milliseconds.
 const RUN_MS: std::ops::Range<u64> = 50..2_500;
-/// The same until the killer crashes its server.
+/// Time until the crashing request crashes its server, in milliseconds.
 const CRASHER_RUN_MS: std::ops::Range<u64> = 40..900;
-/// The same until a server is back.
+/// Time until a crashed server is up again, in milliseconds.
 const RESTART_MS: std::ops::Range<u64> = 2_000..5_000;
-/// The same until a message of another instance arrives.
+/// Delay of a message between instances, in milliseconds.
 const MESSAGE_MS: std::ops::Range<u64> = 2..300;
-/// The same until an instance reads a row that was written.
+/// Delay until an instance reads a written row, in milliseconds.
 const ROW_MS: std::ops::Range<u64> = 10..600;
-/// One message in so many is lost, and one in so many comes twice.
+/// One message in this many is lost, and one in this many arrives twice.
 const UNRELIABLE_ONE_IN: u32 = 4;
 
-/// A fault that is planted into the rules or the carriers.
+/// A fault that is injected into the rules or the exchange of suspicions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// None.
+    /// No fault.
     NoFault,
-    /// An answer clears nothing.
+    /// Answers do not reset crashes.
     AnswerClearsNothing,
-    /// Nobody is told anything.
+    /// Suspicions are neither sent nor stored.
     NothingPublished,
-    /// No rows are kept, so that a process that starts knows nothing.
+    /// Rows are not stored, so that a restarted instance starts with an empty table.
     RowsNotStored,
 }
 
-/// What happens on a day, each as a mean time between two events in
-/// milliseconds; 0 is never.
+/// The events of a run. Fields without a comment are the mean time between two
+/// such events in milliseconds, where 0 means never.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub fault: InjectedFault,
@@ -76,20 +76,21 @@
     pub crash_ms: u64,
     pub rack_ms: u64,
     pub restart_ms: u64,
-    /// When the popular request comes first.
+    /// When the popular request is first sent.
     pub popular_from_ms: u64,
-    /// When all servers of one rack crash at one moment; 0 is never.
+    /// When all servers of one rack crash at once; 0 means never.
     pub rack_at_ms: u64,
-    /// How long the day lasts.
+    /// Length of the run.
     pub length_ms: u64,
 }
 
-/// What came of a day.
+/// The result of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Servers that crashed under the killer.
+    /// Servers that the crashing request crashed.
     pub crashed_servers: usize,
-    /// Servers that got it later than [`SPREAD_MS`] after the third of them.
+    /// Attempts of the crashing request later than [`SPREAD_MS`] after the third
+    /// crash.
     pub late: usize,
     /// Other requests that were refused.
     pub refused: usize,
@@ -111,7 +112,7 @@
     up_at: u64,
 }
 
-/// A request that waits for a verdict.
+/// A request that is held until others had time to send a reset.
 struct HeldRequest {
     until: u64,
     fingerprint: RequestFingerprint,
@@ -124,7 +125,7 @@
     suspicion: SharedSuspicion,
 }
 
-/// A row that was written, and when each instance reads it.
+/// A written row that one instance will read.
 struct RowRead {
     reads_at: u64,
     to: usize,
@@ -151,12 +152,12 @@
     OrganisationTag::of(None)
 }
 
-/// Far enough from zero for ages.
+/// A time far enough from zero to subtract ages from it.
 fn at(millis: u64) -> ClockTime {
     ClockTime::from_millis(10_000_000 + millis)
 }
 
-/// Plays a day.
+/// Runs a scenario with the given random seed.
 pub fn run_scenario(scenario: Scenario, seed: u64) -> Outcome {
     let mut simulation = FleetSimulation {
         scenario,
@@ -230,7 +231,7 @@
         mean_ms > 0 && self.random.u64(..mean_ms) < STEP_MS
     }
 
-    /// A request comes to some instance.
+    /// A request arrives at a random instance.
     fn receive(&mut self, fingerprint: RequestFingerprint, attempts: u32, tries: u32) {
         let instance = self.random.usize(..INSTANCES);
         let verdict = self.tables[instance].verdict(fingerprint, at(self.now));
@@ -284,8 +285,8 @@
         });
     }
 
-    /// Any server; for a suspect one at which this instance has no other one, the
-    /// same at each instance.
+    /// A random server. For a suspected request, a server on which this instance runs
+    /// no other suspected one if possible, ranked alike by all instances.
     fn choose_server(&mut self, fingerprint: RequestFingerprint, instance: usize) -> Option<usize> {
         let up = |server: &usize| self.servers[*server].up_at <= self.now;
         let up: Vec<usize> = (0..SERVERS).filter(up).collect();
@@ -334,7 +335,7 @@
         }
     }
 
-    /// A server crashes with all that it runs.
+    /// A server crashes, and all its attempts fail.
     fn crash(&mut self, server: usize) {
         let life = ServerTag::of(&ServerLife {
             id: format!("s{server}").parse().expect("an id"),
@@ -354,7 +355,8 @@
         }
     }
 
-    /// What a request or its caller does after its server crashed.
+    /// Retries an attempt whose server crashed, or lets the client send the request
+    /// again.
     fn continue_after_crash(&mut self, attempt: &Attempt) {
         let Attempt {
             fingerprint,
@@ -374,7 +376,7 @@
         }
     }
 
-    /// Tells a change to all others, and writes the own row.
+    /// Sends a change to all other instances and writes the sender's row.
     fn publish(&mut self, from: usize, change: Option<MarkChange>) {
         let Some(change) =
             change.filter(|_| self.scenario.fault != InjectedFault::NothingPublished)
@@ -409,7 +411,7 @@
         }
     }
 
-    /// What was told was answered by what is known here.
+    /// Publishes a change by `learn` that differs from the received mark.
     fn publish_reply(
         &mut self,
         from: usize,
@@ -436,8 +438,8 @@
         }
     }
 
-    /// An instance ends with all that it held and sent, and starts again with
-    /// what the rows say.
+    /// Restarts an instance: it loses its attempts and pending messages, and loads
+    /// its table from the stored rows.
     fn restart(&mut self) {
         let instance = self.random.usize(..INSTANCES);
         self.running.retain(|attempt| attempt.instance != instance);
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -1,4 +1,4 @@
-//! What one instance believes.
+//! The table of suspected requests of one instance.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -26,14 +26,14 @@
     OrganisationTag::of(Some(&name.parse().expect("an id")))
 }
 
-/// A server crashes under an attempt that begins now.
+/// Records the crash of a new server during an attempt that starts now.
 fn crash(table: &mut PoisonTable, fingerprint: RequestFingerprint, now: ClockTime) {
     let began = table.mark(fingerprint);
     let server = server(&format!("{fingerprint}-{began}"));
     table.crashed(fingerprint, tag("acme"), began, server, now);
 }
 
-/// A server of its own.
+/// The tag of the server with this id.
 fn server(id: &str) -> ServerTag {
     ServerTag::of(&ServerLife {
         id: id.parse().expect("an id"),
@@ -88,7 +88,7 @@
     assert_eq!(table.mark(REQUEST).crashes, 1);
 }
 
-/// The newest crashes are the ones that others still see.
+/// The newest crashes are the ones that other instances may still report.
 #[test]
 fn the_last_servers_that_crashed_are_remembered() {
     let mut servers = CrashedServers::default();
@@ -101,8 +101,9 @@
     assert_eq!(held, [false, false, true, true, true]);
 }
 
-/// Guards against a request that is refused though it crashed no server: a cut that
-/// answers with resets let two instances see the same crash one after the other.
+/// Guards against refusing a harmless request. In a network partition that resets
+/// connections, two instances saw the same crash one after the other, and each
+/// counted it.
 #[test]
 fn a_crash_seen_by_two_instances_counts_once() {
     let (mut first, mut second) = (table(), table());
@@ -123,7 +124,7 @@
     assert_eq!(first.mark(REQUEST).crashes, 2);
     first.crashed(REQUEST, tag("acme"), began, server("s3"), NOW);
     assert_eq!(first.mark(REQUEST).crashes, 3);
-    // After an answer all counts anew.
+    // An answer also clears the remembered servers.
     first.answered(REQUEST, NOW);
     let began = first.mark(REQUEST);
     first.crashed(REQUEST, tag("acme"), began, server("s1"), later(60_000));
@@ -141,7 +142,7 @@
     assert!(table.answered(REQUEST, NOW).is_some());
     assert_eq!(table.verdict(REQUEST, NOW), PoisonVerdict::Clear);
     assert_eq!(table.learn(suspicion, false, NOW), None);
-    // An attempt that began before the answer does not count either.
+    // An attempt that started before the answer does not count either.
     table.crashed(REQUEST, tag("acme"), began, server("late"), NOW);
     assert_eq!(table.verdict(REQUEST, NOW), PoisonVerdict::Clear);
     assert_eq!(table.answered(REQUEST, NOW), None);
@@ -164,7 +165,7 @@
         change.map(|change| change.mark),
         Some(suspicion.mark.after_answer())
     );
-    // A request that was answered long ago may crash servers now.
+    // The answer no longer counts once its span has passed.
     crash(&mut table, REQUEST, later(answer_span));
     assert_eq!(table.mark(REQUEST).crashes, 1);
 }
@@ -278,7 +279,7 @@
     };
     table.learn(suspicion(1), false, NOW);
     table.learn(suspicion(2), true, NOW);
-    // First learned of another, then found in the own row as well.
+    // First learned from another instance, then also found in the own row.
     table.learn(suspicion(3), false, NOW);
     table.learn(suspicion(3), true, NOW);
     crash(&mut table, REQUEST, NOW);
