--- a/crates/guavawell-core/examples/admission_burst/world.rs
+++ b/crates/guavawell-core/examples/admission_burst/world.rs
@@ -8,8 +8,8 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::limits::AdmissionAnswer;
-use guavawell_core::limits::AdmissionAsk;
 use guavawell_core::limits::AdmissionEffect;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionTicket;
 use guavawell_core::limits::FairWeight;
 use guavawell_core::limits::RequestPriority;
@@ -198,7 +198,7 @@
             return;
         }
         job.tries += 1;
-        let ask = AdmissionAsk {
+        let ask = AdmissionRequest {
             ticket: AdmissionTicket::new(number as u64),
             organisation: organisation_id(job.organisation),
             weight: FairWeight::default(),
--- a/crates/guavawell-core/examples/routing_compare/world/mod.rs
+++ b/crates/guavawell-core/examples/routing_compare/world/mod.rs
@@ -27,8 +27,8 @@
 use guavawell_core::id::ZoneId;
 use guavawell_core::limits::Admission;
 use guavawell_core::limits::AdmissionAnswer;
-use guavawell_core::limits::AdmissionAsk;
 use guavawell_core::limits::AdmissionEffect;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionSettings;
 use guavawell_core::limits::AdmissionTicket;
 use guavawell_core::limits::FairWeight;
@@ -263,7 +263,7 @@
             priority: 0,
         };
         let number = self.jobs.len();
-        let ask = AdmissionAsk {
+        let ask = AdmissionRequest {
             ticket: AdmissionTicket::new(number as u64),
             organisation: organisation_id(organisation),
             weight: FairWeight::default(),
--- a/crates/guavawell-core/src/limits/admission.rs
+++ b/crates/guavawell-core/src/limits/admission.rs
@@ -6,20 +6,20 @@
 use super::hold::HoldTime;
 use super::share::RunningShares;
 use super::ticket::AdmissionAnswer;
-use super::ticket::AdmissionAsk;
 use super::ticket::AdmissionEffect;
+use super::ticket::AdmissionRefusal;
+use super::ticket::AdmissionRequest;
 use super::ticket::AdmissionTicket;
 use super::ticket::RefusalCause;
-use super::ticket::WaitRefusal;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::id::OrganisationId;
 
 /// One slot in this many is kept for organisations within their share.
-const LAST_PART: u32 = 6;
+const RESERVE_DIVISOR: u32 = 6;
 /// All of that is kept once the demand passes the slots by one part in this
 /// many; nothing while the slots are enough for all.
-const EXCESS_PART: u64 = 2;
+const EXCESS_DIVISOR: u64 = 2;
 
 /// Bounds of admission to one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,14 +52,14 @@
     settings: AdmissionSettings,
     limit: u32,
     /// The limit for organisations above their share.
-    open: u32,
+    open_limit: u32,
     slots: Option<u32>,
     shares: RunningShares,
     queue: FairQueue,
     hold: HoldTime,
     demand: DemandRate,
     /// No waiting request is late before this; `None` if none has a deadline.
-    next_late: Option<ClockTime>,
+    next_expiry: Option<ClockTime>,
 }
 
 /// What operators see of admission to one target.
@@ -81,59 +81,60 @@
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             limit: settings.limit,
-            open: settings.limit,
+            open_limit: settings.limit,
             slots: None,
             settings,
             shares: RunningShares::default(),
             queue: FairQueue::default(),
             hold: HoldTime::default(),
             demand: DemandRate::default(),
-            next_late: None,
+            next_expiry: None,
         }
     }
 
     /// A request asks to run. `effects` receives what becomes of others.
     pub fn submit(
         &mut self,
-        ask: AdmissionAsk,
+        request: AdmissionRequest,
         now: ClockTime,
         effects: &mut Vec<AdmissionEffect>,
     ) -> AdmissionAnswer {
         self.tick(now, effects);
-        self.demand.note();
-        self.shares.note(&ask.organisation, ask.weight, now);
-        let idle = self
+        self.demand.record_arrival();
+        self.shares
+            .mark_active(&request.organisation, request.weight, now);
+        let runs_now = self
             .shares
-            .may_run(&ask.organisation, self.open, self.limit);
-        let wait = if idle {
+            .may_run(&request.organisation, self.open_limit, self.limit);
+        let wait = if runs_now {
             ClockSpan::default()
         } else {
-            self.expected_wait(&ask, now)
+            self.expected_wait(&request, now)
         };
-        if let Some(excess) = excess(&ask, wait, now) {
-            return AdmissionAnswer::Refused(WaitRefusal {
+        if let Some(overrun) = deadline_overrun(&request, wait, now) {
+            return AdmissionAnswer::Refused(AdmissionRefusal {
                 cause: RefusalCause::Deadline,
-                retry_after: excess,
+                retry_after: overrun,
             });
         }
-        if idle {
-            self.begin(&ask.organisation, now);
+        if runs_now {
+            self.begin(&request.organisation, now);
             return AdmissionAnswer::Run;
         }
         if wait > self.settings.max_wait {
-            return AdmissionAnswer::Refused(WaitRefusal {
-                cause: RefusalCause::LongWait,
+            return AdmissionAnswer::Refused(AdmissionRefusal {
+                cause: RefusalCause::WaitTooLong,
                 retry_after: wait,
             });
         }
-        if self.queue.len() >= self.most_waiting() && !self.displace(&ask, now, effects) {
+        if self.queue.len() >= self.queue_capacity() && !self.displace(&request, now, effects) {
             return AdmissionAnswer::Refused(queue_full(wait));
         }
-        if let Some(latest) = ask.latest_start() {
-            let next = self.next_late.map_or(latest, |next| next.min(latest));
-            self.next_late = Some(next);
+        if let Some(latest) = request.latest_start() {
+            let next = self.next_expiry.map_or(latest, |next| next.min(latest));
+            self.next_expiry = Some(next);
         }
-        self.queue.push(ask);
+        self.queue.push(request);
         AdmissionAnswer::Queued
     }
 
@@ -156,24 +157,25 @@
 
     /// Time has passed; call it no later than [`next_wake`](Self::next_wake).
     pub fn tick(&mut self, now: ClockTime, effects: &mut Vec<AdmissionEffect>) {
-        if self.next_late.is_none_or(|late| late >= now) {
+        if self.next_expiry.is_none_or(|expiry| expiry >= now) {
             return;
         }
-        for ask in self.queue.take_late(now) {
-            let wait = self.expected_wait(&ask, now);
-            let refusal = WaitRefusal {
+        for request in self.queue.take_expired(now) {
+            let wait = self.expected_wait(&request, now);
+            let refusal = AdmissionRefusal {
                 cause: RefusalCause::Deadline,
-                retry_after: at_least_one(wait),
+                retry_after: at_least_one_ms(wait),
             };
-            effects.push(AdmissionEffect::Refuse(ask.ticket, refusal));
+            effects.push(AdmissionEffect::Refuse(request.ticket, refusal));
         }
-        self.next_late = self.queue.earliest();
+        self.next_expiry = self.queue.earliest_expiry();
     }
 
     /// When a waiting request will have to be given up, if none runs before.
     #[must_use]
     pub fn next_wake(&self) -> Option<ClockTime> {
-        self.next_late.map(|late| late + ClockSpan::from_millis(1))
+        self.next_expiry
+            .map(|expiry| expiry + ClockSpan::from_millis(1))
     }
 
     /// Tells how many slots of the target's servers this router may take, which
@@ -186,30 +188,30 @@
     /// Changes the number of requests run at a time.
     pub fn set_limit(&mut self, limit: u32, now: ClockTime, effects: &mut Vec<AdmissionEffect>) {
         self.limit = limit;
-        self.shares.review(now);
-        self.demand.review(now);
-        let open = |slots| limit.min(slots - self.kept(slots, now));
-        self.open = self.slots.map_or(limit, open);
+        self.shares.update(now);
+        self.demand.update(now);
+        let open_limit = |slots| limit.min(slots - self.reserved_slots(slots, now));
+        self.open_limit = self.slots.map_or(limit, open_limit);
         self.dispatch(now, effects);
     }
 
     /// Expected wait of a request before it runs.
     #[must_use]
-    pub fn expected_wait(&self, ask: &AdmissionAsk, now: ClockTime) -> ClockSpan {
+    pub fn expected_wait(&self, request: &AdmissionRequest, now: ClockTime) -> ClockSpan {
         let running = self.shares.running();
         // Where the limit fell, the first ends let nobody in.
-        let excess = u64::from(running.saturating_sub(self.limit));
-        let count = self.queue.ahead_of(ask) + 1 + excess;
+        let above_limit = u64::from(running.saturating_sub(self.limit));
+        let position = self.queue.ahead_of(request) + 1 + above_limit;
         let hold = self.hold_time(now);
-        let turns = u64::from(running.max(1));
-        ClockSpan::from_millis(count.saturating_mul(hold.as_millis()) / turns)
+        let parallel = u64::from(running.max(1));
+        ClockSpan::from_millis(position.saturating_mul(hold.as_millis()) / parallel)
     }
 
     /// Whether an organisation runs no more than its weighted share of the
     /// limit among the organisations that were active lately.
     #[must_use]
     pub fn is_within_share(&self, organisation: &OrganisationId) -> bool {
-        self.shares.is_within(organisation, 0, self.open)
+        self.shares.is_within(organisation, 0, self.open_limit)
     }
 
     /// What operators see.
@@ -226,26 +228,31 @@
     fn dispatch(&mut self, now: ClockTime, effects: &mut Vec<AdmissionEffect>) {
         self.tick(now, effects);
         while self.shares.running() < self.limit {
-            let (shares, open, limit) = (&self.shares, self.open, self.limit);
-            let may_run = |organisation: &OrganisationId| shares.may_run(organisation, open, limit);
-            let Some(ask) = self.queue.pop(may_run) else {
+            let (shares, open_limit, limit) = (&self.shares, self.open_limit, self.limit);
+            let may_run =
+                |organisation: &OrganisationId| shares.may_run(organisation, open_limit, limit);
+            let Some(request) = self.queue.pop(may_run) else {
                 return;
             };
-            self.begin(&ask.organisation, now);
-            effects.push(AdmissionEffect::Run(ask.ticket));
+            self.begin(&request.organisation, now);
+            effects.push(AdmissionEffect::Run(request.ticket));
         }
     }
 
     /// Slots kept for organisations within their share. While the slots are
     /// enough for the demand nobody has to be refused for their sake; the more
     /// it passes them, the less those kept matter to who asks for most.
-    fn kept(&self, slots: u32, now: ClockTime) -> u32 {
-        let most = self.shares.unused(slots).min(slots / LAST_PART);
+    fn reserved_slots(&self, slots: u32, now: ClockTime) -> u32 {
+        let max_reserved = self.shares.unused(slots).min(slots / RESERVE_DIVISOR);
         let hold = self.hold_time(now);
-        let excess = self.demand.slots(hold).saturating_sub(u64::from(slots));
-        let whole = u64::from(slots).max(1);
-        let part = u64::from(most) * (excess * EXCESS_PART).min(whole) / whole;
-        u32::try_from(part).unwrap_or(most)
+        let excess_demand = self
+            .demand
+            .slots_needed(hold)
+            .saturating_sub(u64::from(slots));
+        let all_slots = u64::from(slots).max(1);
+        let reserved =
+            u64::from(max_reserved) * (excess_demand * EXCESS_DIVISOR).min(all_slots) / all_slots;
+        u32::try_from(reserved).unwrap_or(max_reserved)
     }
 
     fn hold_time(&self, now: ClockTime) -> ClockSpan {
@@ -258,18 +265,18 @@
         self.shares.begin(organisation);
     }
 
-    fn most_waiting(&self) -> usize {
+    fn queue_capacity(&self) -> usize {
         let limit = usize::try_from(self.limit).unwrap_or(usize::MAX);
         self.settings.queue.max(limit)
     }
 
     fn displace(
         &mut self,
-        ask: &AdmissionAsk,
+        request: &AdmissionRequest,
         now: ClockTime,
         effects: &mut Vec<AdmissionEffect>,
     ) -> bool {
-        let Some(displaced) = self.queue.displace(ask) else {
+        let Some(displaced) = self.queue.displace(request) else {
             return false;
         };
         let wait = self.expected_wait(&displaced, now);
@@ -279,19 +286,23 @@
 }
 
 /// By how much a request would miss its deadline, if it would.
-fn excess(ask: &AdmissionAsk, wait: ClockSpan, now: ClockTime) -> Option<ClockSpan> {
-    let deadline = ask.deadline?;
-    let expected = now + wait + ask.first_token;
+fn deadline_overrun(
+    request: &AdmissionRequest,
+    wait: ClockSpan,
+    now: ClockTime,
+) -> Option<ClockSpan> {
+    let deadline = request.deadline?;
+    let expected = now + wait + request.first_token;
     (expected > deadline).then(|| expected.since(deadline))
 }
 
-fn queue_full(wait: ClockSpan) -> WaitRefusal {
-    WaitRefusal {
+fn queue_full(wait: ClockSpan) -> AdmissionRefusal {
+    AdmissionRefusal {
         cause: RefusalCause::QueueFull,
-        retry_after: at_least_one(wait),
+        retry_after: at_least_one_ms(wait),
     }
 }
 
-fn at_least_one(wait: ClockSpan) -> ClockSpan {
+fn at_least_one_ms(wait: ClockSpan) -> ClockSpan {
     wait.max(ClockSpan::from_millis(1))
 }
--- a/crates/guavawell-core/src/limits/concurrency.rs
+++ b/crates/guavawell-core/src/limits/concurrency.rs
@@ -13,51 +13,51 @@
 
 /// Fixed-point scale of the limit.
 const SCALE: u32 = 16;
-/// A decrease keeps this many parts of [`DECREASE_WHOLE`].
-const DECREASE_PARTS: u32 = 9;
-/// See [`DECREASE_PARTS`].
-const DECREASE_WHOLE: u32 = 10;
+/// A decrease keeps this many parts of [`DECREASE_DENOMINATOR`].
+const DECREASE_NUMERATOR: u32 = 9;
+/// See [`DECREASE_NUMERATOR`].
+const DECREASE_DENOMINATOR: u32 = 10;
 /// At most one decrease in this span.
-const DECREASE_PAUSE: ClockSpan = ClockSpan::from_millis(500);
+const DECREASE_INTERVAL: ClockSpan = ClockSpan::from_millis(500);
 /// A server that refused a request is not believed to have as many free slots
 /// as it reports, for this span.
-const REFUSAL_SPAN: ClockSpan = ClockSpan::from_millis(5_000);
+const OVERLOAD_BACKOFF: ClockSpan = ClockSpan::from_millis(5_000);
 /// A first token later than this many times the expected one is late.
 const LATE_FACTOR: u64 = 2;
 
 /// A server with at least one part in this many free lets the limit grow by a
 /// whole request a report, otherwise by one part of it.
-const FREE_PARTS: u32 = 4;
+const FREE_SLOTS_DIVISOR: u32 = 4;
 
 /// The limit, in requests in flight.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
-    least: u32,
-    most: u32,
+    min_limit: u32,
+    max_limit: u32,
     /// The limit times [`SCALE`].
-    scaled: AtomicU32,
-    decreased: AtomicU64,
+    scaled_limit: AtomicU32,
+    last_decrease: AtomicU64,
 }
 
 impl ConcurrencyLimit {
-    /// A limit between `least` and `most`; reported free slots may raise it
+    /// A limit between `min_limit` and `max_limit`; reported free slots may raise it
     /// further.
     #[must_use]
-    pub fn new(least: u32, start: u32, most: u32) -> Self {
-        let least = least.max(1);
-        let most = most.max(least);
+    pub fn new(min_limit: u32, start: u32, max_limit: u32) -> Self {
+        let min_limit = min_limit.max(1);
+        let max_limit = max_limit.max(min_limit);
         Self {
-            least,
-            most,
-            scaled: AtomicU32::new(start.clamp(least, most) * SCALE),
-            decreased: AtomicU64::new(0),
+            min_limit,
+            max_limit,
+            scaled_limit: AtomicU32::new(start.clamp(min_limit, max_limit) * SCALE),
+            last_decrease: AtomicU64::new(0),
         }
     }
 
     /// The limit.
     #[must_use]
     pub fn get(&self) -> u32 {
-        self.scaled.load(Ordering::Relaxed) / SCALE
+        self.scaled_limit.load(Ordering::Relaxed) / SCALE
     }
 
     /// A load report came: `total` requests at a server with `slots` slots, of
@@ -68,19 +68,24 @@
     /// while it is used.
     pub fn report(&self, total: u32, slots: u32, own: u32, routers: u32, now: ClockTime) {
         if total > slots {
-            let part = u64::from(own) * u64::from(slots) * u64::from(SCALE) / u64::from(total);
-            let part = u32::try_from(part).unwrap_or(u32::MAX);
-            let floor = self.least * SCALE;
-            self.scaled.fetch_min(part.max(floor), Ordering::Relaxed);
+            let share = u64::from(own) * u64::from(slots) * u64::from(SCALE) / u64::from(total);
+            let share = u32::try_from(share).unwrap_or(u32::MAX);
+            let floor = self.min_limit * SCALE;
+            self.scaled_limit
+                .fetch_min(share.max(floor), Ordering::Relaxed);
             return;
         }
         let free = slots - total;
-        if !self.decreased_within(REFUSAL_SPAN, now) {
+        if !self.decreased_within(OVERLOAD_BACKOFF, now) {
             self.raise(own.saturating_add(free / routers.max(1)));
         }
         if own.saturating_mul(2) >= self.get() {
-            let ample = free.saturating_mul(FREE_PARTS) >= slots;
-            self.increase(if ample { SCALE } else { SCALE / FREE_PARTS });
+            let many_free = free.saturating_mul(FREE_SLOTS_DIVISOR) >= slots;
+            self.increase(if many_free {
+                SCALE
+            } else {
+                SCALE / FREE_SLOTS_DIVISOR
+            });
         }
     }
 
@@ -103,46 +108,46 @@
     /// Makes the limit no less than `limit`. All routers see the same report,
     /// so that their parts of what is free add up to it.
     fn raise(&self, limit: u32) {
-        let scaled = limit.saturating_mul(SCALE);
-        self.scaled.fetch_max(scaled, Ordering::Relaxed);
+        let scaled_limit = limit.saturating_mul(SCALE);
+        self.scaled_limit.fetch_max(scaled_limit, Ordering::Relaxed);
     }
 
     fn increase(&self, step: u32) {
-        let most = self.most * SCALE;
-        let _ = self
-            .scaled
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |scaled| {
-                Some((scaled + step.max(1)).min(most.max(scaled)))
-            });
+        let max_scaled = self.max_limit * SCALE;
+        let _ =
+            self.scaled_limit
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |scaled_limit| {
+                    Some((scaled_limit + step.max(1)).min(max_scaled.max(scaled_limit)))
+                });
     }
 
     fn decreased_within(&self, span: ClockSpan, now: ClockTime) -> bool {
-        let last = ClockTime::from_millis(self.decreased.load(Ordering::Relaxed));
+        let last = ClockTime::from_millis(self.last_decrease.load(Ordering::Relaxed));
         last != ClockTime::default() && now.since(last) < span
     }
 
     fn decrease(&self, now: ClockTime) {
-        let seen = self.decreased.load(Ordering::Relaxed);
-        let last = ClockTime::from_millis(seen);
-        let pausing = last != ClockTime::default() && now.since(last) < DECREASE_PAUSE;
-        if pausing {
+        let previous = self.last_decrease.load(Ordering::Relaxed);
+        let last = ClockTime::from_millis(previous);
+        let too_soon = last != ClockTime::default() && now.since(last) < DECREASE_INTERVAL;
+        if too_soon {
             return;
         }
         // Of threads that meet the same overload, one decreases.
-        let taken = self.decreased.compare_exchange(
-            seen,
+        let swapped = self.last_decrease.compare_exchange(
+            previous,
             now.as_millis(),
             Ordering::Relaxed,
             Ordering::Relaxed,
         );
-        if taken.is_err() {
+        if swapped.is_err() {
             return;
         }
-        let floor = self.least * SCALE;
-        let _ = self
-            .scaled
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |scaled| {
-                Some((scaled * DECREASE_PARTS / DECREASE_WHOLE).max(floor))
-            });
+        let floor = self.min_limit * SCALE;
+        let _ =
+            self.scaled_limit
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |scaled_limit| {
+                    Some((scaled_limit * DECREASE_NUMERATOR / DECREASE_DENOMINATOR).max(floor))
+                });
     }
 }
--- a/crates/guavawell-core/src/limits/demand.rs
+++ b/crates/guavawell-core/src/limits/demand.rs
@@ -5,11 +5,11 @@
 use crate::clock::ClockTime;
 
 /// Span over which arrivals are smoothed.
-const SMOOTH_SPAN: ClockSpan = ClockSpan::from_millis(5_000);
+const AVERAGING_WINDOW: ClockSpan = ClockSpan::from_millis(5_000);
 /// Fixed-point scale of the rate.
 const SCALE: u64 = 1_024;
 /// Milliseconds in a second.
-const SECOND: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// The smoothed rate of arrivals.
 #[derive(Clone, Debug, Default)]
@@ -18,29 +18,29 @@
     arrived: u64,
     /// Arrivals a second, times [`SCALE`].
     rate: u64,
-    reviewed: ClockTime,
+    updated_at: ClockTime,
 }
 
 impl DemandRate {
     /// A request asks to run.
-    pub(super) fn note(&mut self) {
+    pub(super) fn record_arrival(&mut self) {
         self.arrived += 1;
     }
 
     /// Time has passed; call it on a timer.
-    pub(super) fn review(&mut self, now: ClockTime) {
-        let whole = SMOOTH_SPAN.as_millis();
-        let part = now.since(self.reviewed).as_millis().min(whole);
-        if part == 0 {
+    pub(super) fn update(&mut self, now: ClockTime) {
+        let window = AVERAGING_WINDOW.as_millis();
+        let elapsed = now.since(self.updated_at).as_millis().min(window);
+        if elapsed == 0 {
             return;
         }
-        self.reviewed = now;
-        let arrived = std::mem::take(&mut self.arrived).saturating_mul(SCALE * SECOND);
-        self.rate = (self.rate.saturating_mul(whole - part)).saturating_add(arrived) / whole;
+        self.updated_at = now;
+        let arrived = std::mem::take(&mut self.arrived).saturating_mul(SCALE * MILLIS_PER_SECOND);
+        self.rate = (self.rate.saturating_mul(window - elapsed)).saturating_add(arrived) / window;
     }
 
     /// Slots that all of it would take, each for `hold`.
-    pub(super) fn slots(&self, hold: ClockSpan) -> u64 {
-        self.rate.saturating_mul(hold.as_millis()) / SCALE / SECOND
+    pub(super) fn slots_needed(&self, hold: ClockSpan) -> u64 {
+        self.rate.saturating_mul(hold.as_millis()) / SCALE / MILLIS_PER_SECOND
     }
 }
--- a/crates/guavawell-core/src/limits/fair.rs
+++ b/crates/guavawell-core/src/limits/fair.rs
@@ -6,7 +6,7 @@
 //! the number of waiting requests, which is bounded, never on the number of
 //! organisations.
 
-use super::ticket::AdmissionAsk;
+use super::ticket::AdmissionRequest;
 use super::ticket::AdmissionTicket;
 use super::ticket::FairWeight;
 use crate::clock::ClockTime;
@@ -15,7 +15,7 @@
 /// Fixed-point scale of tags.
 const SCALE: u64 = 1_024;
 /// Finish tags remembered of organisations that do not wait.
-const MAX_IDLE: usize = 1_024;
+const MAX_IDLE_TAGS: usize = 1_024;
 
 /// The waiting requests of one organisation, never empty.
 #[derive(Clone, Debug)]
@@ -23,16 +23,16 @@
     organisation: OrganisationId,
     weight: FairWeight,
     /// Start tag of the head.
-    start: u64,
+    start_tag: u64,
     /// By priority (high first), then by age.
-    waiting: Vec<AdmissionAsk>,
+    waiting: Vec<AdmissionRequest>,
 }
 
 /// The last finish tag of an organisation that does not wait.
 #[derive(Clone, Debug)]
 struct IdleTag {
     organisation: OrganisationId,
-    finish: u64,
+    finish_tag: u64,
 }
 
 /// All waiting requests of one target.
@@ -56,23 +56,25 @@
         self.queues.len()
     }
 
-    pub(super) fn push(&mut self, ask: AdmissionAsk) {
+    pub(super) fn push(&mut self, request: AdmissionRequest) {
         self.len += 1;
-        match self.find(&ask.organisation) {
-            Ok(place) => {
-                let queue = &mut self.queues[place];
-                queue.weight = ask.weight;
-                queue.insert(ask);
+        match self.find(&request.organisation) {
+            Ok(index) => {
+                let queue = &mut self.queues[index];
+                queue.weight = request.weight;
+                queue.insert(request);
             }
-            Err(place) => {
-                let start = self.take_idle(&ask.organisation).max(self.virtual_time);
+            Err(index) => {
+                let start_tag = self
+                    .remove_idle_tag(&request.organisation)
+                    .max(self.virtual_time);
                 let queue = OrganisationQueue {
-                    organisation: ask.organisation.clone(),
-                    weight: ask.weight,
-                    start,
-                    waiting: vec![ask],
+                    organisation: request.organisation.clone(),
+                    weight: request.weight,
+                    start_tag,
+                    waiting: vec![request],
                 };
-                self.queues.insert(place, queue);
+                self.queues.insert(index, queue);
             }
         }
     }
@@ -81,74 +83,75 @@
     pub(super) fn pop(
         &mut self,
         may_run: impl Fn(&OrganisationId) -> bool,
-    ) -> Option<AdmissionAsk> {
-        let order = |queue: &OrganisationQueue| (queue.start, queue.waiting[0].ticket);
-        let place = (0..self.queues.len())
-            .filter(|place| may_run(&self.queues[*place].organisation))
-            .min_by_key(|place| order(&self.queues[*place]))?;
-        let queue = &mut self.queues[place];
-        let ask = queue.waiting.remove(0);
-        self.virtual_time = self.virtual_time.max(queue.start);
-        let charge = ask.cost.max(1).saturating_mul(SCALE) / u64::from(queue.weight.get());
-        queue.start = queue.start.saturating_add(charge.max(1));
+    ) -> Option<AdmissionRequest> {
+        let order = |queue: &OrganisationQueue| (queue.start_tag, queue.waiting[0].ticket);
+        let index = (0..self.queues.len())
+            .filter(|index| may_run(&self.queues[*index].organisation))
+            .min_by_key(|index| order(&self.queues[*index]))?;
+        let queue = &mut self.queues[index];
+        let request = queue.waiting.remove(0);
+        self.virtual_time = self.virtual_time.max(queue.start_tag);
+        let charge = request.cost.max(1).saturating_mul(SCALE) / u64::from(queue.weight.get());
+        queue.start_tag = queue.start_tag.saturating_add(charge.max(1));
         self.len -= 1;
-        self.retire(place);
-        Some(ask)
+        self.remove_if_empty(index);
+        Some(request)
     }
 
     /// Removes one request.
-    pub(super) fn remove(&mut self, ticket: AdmissionTicket) -> Option<AdmissionAsk> {
-        self.take_if(|ask| ask.ticket == ticket).pop()
+    pub(super) fn remove(&mut self, ticket: AdmissionTicket) -> Option<AdmissionRequest> {
+        self.remove_matching(|request| request.ticket == ticket)
+            .pop()
     }
 
     /// Removes the requests that can no longer start in time.
-    pub(super) fn take_late(&mut self, now: ClockTime) -> Vec<AdmissionAsk> {
-        self.take_if(|ask| ask.latest_start().is_some_and(|latest| latest < now))
+    pub(super) fn take_expired(&mut self, now: ClockTime) -> Vec<AdmissionRequest> {
+        self.remove_matching(|request| request.latest_start().is_some_and(|latest| latest < now))
     }
 
     /// The earliest last moment to start of all that wait.
-    pub(super) fn earliest(&self) -> Option<ClockTime> {
+    pub(super) fn earliest_expiry(&self) -> Option<ClockTime> {
         let all = self.queues.iter().flat_map(|queue| &queue.waiting);
-        all.filter_map(AdmissionAsk::latest_start).min()
+        all.filter_map(AdmissionRequest::latest_start).min()
     }
 
-    /// Makes room for `ask` in a full queue: takes the last request of the
+    /// Makes room for `request` in a full queue: takes the last request of the
     /// organisation that waits with most for its weight, if that is another
     /// one with more than the asking one would have, or the asking one's own
     /// last if that has a lower priority.
-    pub(super) fn displace(&mut self, ask: &AdmissionAsk) -> Option<AdmissionAsk> {
-        let (place, longest) = self
+    pub(super) fn displace(&mut self, request: &AdmissionRequest) -> Option<AdmissionRequest> {
+        let (index, longest) = self
             .queues
             .iter()
             .enumerate()
             .max_by_key(|(_, queue)| queue.backlog(0))?;
-        let own = self.find(&ask.organisation).ok();
+        let own = self.find(&request.organisation).ok();
         let own_backlog = own.map_or_else(
-            || SCALE / u64::from(ask.weight.get()),
+            || SCALE / u64::from(request.weight.get()),
             |own| self.queues[own].backlog(1),
         );
-        if own != Some(place) && longest.backlog(0) > own_backlog {
-            return self.take_last(place);
+        if own != Some(index) && longest.backlog(0) > own_backlog {
+            return self.take_last(index);
         }
         let own = own?;
         let last = self.queues[own].waiting.last()?;
-        if last.priority < ask.priority {
+        if last.priority < request.priority {
             return self.take_last(own);
         }
         None
     }
 
-    /// Requests expected to run before `ask` would: those of its organisation
+    /// Requests expected to run before `request` would: those of its organisation
     /// that go first, and the fair share of the others meanwhile.
-    pub(super) fn ahead_of(&self, ask: &AdmissionAsk) -> u64 {
-        let own = self.find(&ask.organisation).ok();
-        let own_ahead = own.map_or(0, |place| self.queues[place].ahead_of(ask) as u64);
-        let weight = u64::from(ask.weight.get());
+    pub(super) fn ahead_of(&self, request: &AdmissionRequest) -> u64 {
+        let own = self.find(&request.organisation).ok();
+        let own_ahead = own.map_or(0, |index| self.queues[index].ahead_of(request) as u64);
+        let weight = u64::from(request.weight.get());
         let others = self
             .queues
             .iter()
             .enumerate()
-            .filter(|(place, _)| Some(*place) != own);
+            .filter(|(index, _)| Some(*index) != own);
         let share = |queue: &OrganisationQueue| {
             let turns = (own_ahead + 1) * u64::from(queue.weight.get());
             turns.div_ceil(weight).min(queue.waiting.len() as u64)
@@ -161,72 +164,75 @@
             .binary_search_by(|queue| queue.organisation.cmp(organisation))
     }
 
-    fn take_last(&mut self, place: usize) -> Option<AdmissionAsk> {
-        let ask = self.queues[place].waiting.pop();
-        self.len -= usize::from(ask.is_some());
-        self.retire(place);
-        ask
+    fn take_last(&mut self, index: usize) -> Option<AdmissionRequest> {
+        let request = self.queues[index].waiting.pop();
+        self.len -= usize::from(request.is_some());
+        self.remove_if_empty(index);
+        request
     }
 
-    fn take_if(&mut self, wanted: impl Fn(&AdmissionAsk) -> bool) -> Vec<AdmissionAsk> {
+    fn remove_matching(
+        &mut self,
+        wanted: impl Fn(&AdmissionRequest) -> bool,
+    ) -> Vec<AdmissionRequest> {
         let mut taken = Vec::new();
-        for place in (0..self.queues.len()).rev() {
-            let waiting = &mut self.queues[place].waiting;
-            taken.extend(waiting.extract_if(.., |ask| wanted(ask)));
-            self.retire(place);
+        for index in (0..self.queues.len()).rev() {
+            let waiting = &mut self.queues[index].waiting;
+            taken.extend(waiting.extract_if(.., |request| wanted(request)));
+            self.remove_if_empty(index);
         }
         self.len -= taken.len();
         taken
     }
 
     /// Moves an emptied queue's tag to the idle ones.
-    fn retire(&mut self, place: usize) {
-        if !self.queues[place].waiting.is_empty() {
+    fn remove_if_empty(&mut self, index: usize) {
+        if !self.queues[index].waiting.is_empty() {
             return;
         }
-        let queue = self.queues.remove(place);
+        let queue = self.queues.remove(index);
         if self.queues.is_empty() {
             self.idle.clear();
             self.virtual_time = 0;
             return;
         }
-        if self.idle.len() >= MAX_IDLE {
+        if self.idle.len() >= MAX_IDLE_TAGS {
             let passed = self.virtual_time;
-            self.idle.retain(|tag| tag.finish > passed);
+            self.idle.retain(|tag| tag.finish_tag > passed);
         }
-        if queue.start > self.virtual_time && self.idle.len() < MAX_IDLE {
-            self.put_idle(queue.organisation, queue.start);
+        if queue.start_tag > self.virtual_time && self.idle.len() < MAX_IDLE_TAGS {
+            self.insert_idle_tag(queue.organisation, queue.start_tag);
         }
     }
 
-    fn put_idle(&mut self, organisation: OrganisationId, finish: u64) {
-        let place = self
+    fn insert_idle_tag(&mut self, organisation: OrganisationId, finish_tag: u64) {
+        let index = self
             .idle
             .partition_point(|tag| tag.organisation < organisation);
         let tag = IdleTag {
             organisation,
-            finish,
+            finish_tag,
         };
-        self.idle.insert(place, tag);
+        self.idle.insert(index, tag);
     }
 
-    fn take_idle(&mut self, organisation: &OrganisationId) -> u64 {
-        let place = self
+    fn remove_idle_tag(&mut self, organisation: &OrganisationId) -> u64 {
+        let index = self
             .idle
             .binary_search_by(|tag| tag.organisation.cmp(organisation));
-        place.map_or(0, |place| self.idle.remove(place).finish)
+        index.map_or(0, |index| self.idle.remove(index).finish_tag)
     }
 }
 
 impl OrganisationQueue {
-    fn insert(&mut self, ask: AdmissionAsk) {
-        let place = self.ahead_of(&ask);
-        self.waiting.insert(place, ask);
+    fn insert(&mut self, request: AdmissionRequest) {
+        let index = self.ahead_of(&request);
+        self.waiting.insert(index, request);
     }
 
-    fn ahead_of(&self, ask: &AdmissionAsk) -> usize {
+    fn ahead_of(&self, request: &AdmissionRequest) -> usize {
         self.waiting
-            .partition_point(|other| other.priority >= ask.priority)
+            .partition_point(|other| other.priority >= request.priority)
     }
 
     /// Waiting requests, and `more`, for its weight.
--- a/crates/guavawell-core/src/limits/gate.rs
+++ b/crates/guavawell-core/src/limits/gate.rs
@@ -68,8 +68,8 @@
     /// The shard of a target, to be kept until the request has ended.
     #[must_use]
     pub fn shard(&self, target: &RouteTarget) -> Option<Arc<Mutex<Admission>>> {
-        let place = self.find(target).ok()?;
-        Some(Arc::clone(&self.shards[place].admission))
+        let index = self.find(target).ok()?;
+        Some(Arc::clone(&self.shards[index].admission))
     }
 
     /// The targets, sorted.
@@ -88,8 +88,8 @@
     }
 
     fn shard_for(&self, target: RouteTarget) -> GateShard {
-        if let Ok(place) = self.find(&target) {
-            return self.shards[place].clone();
+        if let Ok(index) = self.find(&target) {
+            return self.shards[index].clone();
         }
         let admission = Admission::new(self.settings.clone());
         GateShard {
--- a/crates/guavawell-core/src/limits/retry.rs
+++ b/crates/guavawell-core/src/limits/retry.rs
@@ -7,7 +7,7 @@
 use crate::atomic::Ordering;
 
 /// Parts of one retry in the account.
-const RETRY: u64 = 1_000;
+const UNITS_PER_RETRY: u64 = 1_000;
 
 /// How retries are paid for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,33 +32,33 @@
 pub struct RetryBudget {
     settings: RetrySettings,
     /// In thousandths of a retry.
-    saved: AtomicU64,
+    balance: AtomicU64,
 }
 
 impl RetryBudget {
     /// A full account.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
-        let saved = AtomicU64::new(settings.burst * RETRY);
-        Self { settings, saved }
+        let balance = AtomicU64::new(settings.burst * UNITS_PER_RETRY);
+        Self { settings, balance }
     }
 
     /// A request succeeded.
     pub fn deposit(&self) {
-        let most = self.settings.burst * RETRY;
+        let max_balance = self.settings.burst * UNITS_PER_RETRY;
         let _ = self
-            .saved
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |saved| {
-                Some((saved + self.settings.per_success).min(most))
+            .balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |balance| {
+                Some((balance + self.settings.per_success).min(max_balance))
             });
     }
 
     /// Asks for one retry; false means that the request's failure is final.
     #[must_use]
     pub fn withdraw(&self) -> bool {
-        self.saved
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |saved| {
-                saved.checked_sub(RETRY)
+        self.balance
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |balance| {
+                balance.checked_sub(UNITS_PER_RETRY)
             })
             .is_ok()
     }
--- a/crates/guavawell-core/src/limits/share.rs
+++ b/crates/guavawell-core/src/limits/share.rs
@@ -9,10 +9,10 @@
 const ACTIVE_SPAN: ClockSpan = ClockSpan::from_millis(10_000);
 
 /// Span over which what an organisation runs is smoothed.
-const SMOOTH_SPAN: ClockSpan = ClockSpan::from_millis(5_000);
+const AVERAGING_WINDOW: ClockSpan = ClockSpan::from_millis(5_000);
 /// An organisation is quiet while it usually takes at most one in this many of
 /// the slots of its share.
-const QUIET_PART: u64 = 2;
+const LIGHT_USE_DIVISOR: u64 = 2;
 /// Fixed-point scale of smoothed numbers.
 const SCALE: u64 = 1_024;
 
@@ -23,8 +23,8 @@
     weight: FairWeight,
     running: u32,
     /// Smoothed `running`, times [`SCALE`].
-    usual: u64,
-    last: ClockTime,
+    average_running: u64,
+    last_active: ClockTime,
 }
 
 /// The active organisations of one target, each with what it runs.
@@ -36,7 +36,7 @@
     weights: u64,
     /// Requests running, of all organisations.
     running: u32,
-    reviewed: ClockTime,
+    updated_at: ClockTime,
 }
 
 impl RunningShares {
@@ -46,70 +46,77 @@
     }
 
     /// Whether one more request of an organisation may run: any while fewer
-    /// than `open` run, one within its share while fewer than `limit` run.
-    pub(super) fn may_run(&self, organisation: &OrganisationId, open: u32, limit: u32) -> bool {
-        self.running < open || (self.running < limit && self.is_within(organisation, 1, open))
+    /// than `open_limit` run, one within its share while fewer than `limit` run.
+    pub(super) fn may_run(
+        &self,
+        organisation: &OrganisationId,
+        open_limit: u32,
+        limit: u32,
+    ) -> bool {
+        self.running < open_limit
+            || (self.running < limit && self.is_within(organisation, 1, open_limit))
     }
 
     /// An organisation asks; it is active from now on.
-    pub(super) fn note(
+    pub(super) fn mark_active(
         &mut self,
         organisation: &OrganisationId,
         weight: FairWeight,
         now: ClockTime,
     ) {
-        let place = match self.find(organisation) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.find(organisation) {
+            Ok(index) => index,
+            Err(index) => {
                 let share = ActiveShare {
                     organisation: organisation.clone(),
                     weight,
                     running: 0,
-                    usual: 0,
-                    last: now,
+                    average_running: 0,
+                    last_active: now,
                 };
                 self.weights += u64::from(weight.get());
-                self.active.insert(place, share);
-                place
+                self.active.insert(index, share);
+                index
             }
         };
-        let share = &mut self.active[place];
+        let share = &mut self.active[index];
         self.weights -= u64::from(share.weight.get());
         self.weights += u64::from(weight.get());
         share.weight = weight;
-        share.last = now;
+        share.last_active = now;
     }
 
     /// One more request of an organisation that was noted runs.
     pub(super) fn begin(&mut self, organisation: &OrganisationId) {
         self.running += 1;
-        if let Ok(place) = self.find(organisation) {
-            self.active[place].running += 1;
+        if let Ok(index) = self.find(organisation) {
+            self.active[index].running += 1;
         }
     }
 
     /// One of an organisation's requests ended.
     pub(super) fn finish(&mut self, organisation: &OrganisationId, now: ClockTime) {
         self.running = self.running.saturating_sub(1);
-        if let Ok(place) = self.find(organisation) {
-            let share = &mut self.active[place];
+        if let Ok(index) = self.find(organisation) {
+            let share = &mut self.active[index];
             share.running = share.running.saturating_sub(1);
-            share.last = now;
+            share.last_active = now;
         }
     }
 
     /// Time has passed: smooths what each organisation runs and forgets those
     /// that have not been active for a while. Walks the active organisations,
     /// so call it on a timer.
-    pub(super) fn review(&mut self, now: ClockTime) {
-        let whole = SMOOTH_SPAN.as_millis();
-        let part = now.since(self.reviewed).as_millis().min(whole);
-        self.reviewed = now;
+    pub(super) fn update(&mut self, now: ClockTime) {
+        let window = AVERAGING_WINDOW.as_millis();
+        let elapsed = now.since(self.updated_at).as_millis().min(window);
+        self.updated_at = now;
         self.active
-            .retain(|share| share.running > 0 || now.since(share.last) < ACTIVE_SPAN);
+            .retain(|share| share.running > 0 || now.since(share.last_active) < ACTIVE_SPAN);
         for share in &mut self.active {
             let running = u64::from(share.running) * SCALE;
-            share.usual = (share.usual * (whole - part) + running * part) / whole;
+            share.average_running =
+                (share.average_running * (window - elapsed) + running * elapsed) / window;
         }
         let weights = self.active.iter().map(|share| share.weight.get());
         self.weights = weights.map(u64::from).sum();
@@ -118,14 +125,14 @@
     /// What the organisations that usually take a small part of their shares
     /// of `slots` leave unused of them.
     pub(super) fn unused(&self, slots: u32) -> u32 {
-        let whole = u64::from(slots) * SCALE;
+        let scaled_slots = u64::from(slots) * SCALE;
         let unused = |share: &ActiveShare| {
-            let allowed = whole * u64::from(share.weight.get()) / self.weights.max(1);
+            let allowed = scaled_slots * u64::from(share.weight.get()) / self.weights.max(1);
             // What it runs now counts at once, so that several that begin
             // together leave no slot of theirs empty.
-            let used = share.usual.max(u64::from(share.running) * SCALE);
-            let quiet = used * QUIET_PART <= allowed;
-            if quiet { allowed - used } else { 0 }
+            let used = share.average_running.max(u64::from(share.running) * SCALE);
+            let light_use = used * LIGHT_USE_DIVISOR <= allowed;
+            if light_use { allowed - used } else { 0 }
         };
         let sum: u64 = self.active.iter().map(unused).sum();
         u32::try_from(sum / SCALE).unwrap_or(u32::MAX)
@@ -134,10 +141,10 @@
     /// Whether an organisation that would run `more` stays within its share
     /// of `limit`. One request always is, and so is who is active alone.
     pub(super) fn is_within(&self, organisation: &OrganisationId, more: u32, limit: u32) -> bool {
-        let Ok(place) = self.find(organisation) else {
+        let Ok(index) = self.find(organisation) else {
             return true;
         };
-        let share = &self.active[place];
+        let share = &self.active[index];
         let running = share.running + more;
         let allowed = u64::from(limit) * u64::from(share.weight.get());
         running <= 1 || self.active.len() == 1 || u64::from(running) * self.weights <= allowed
--- a/crates/guavawell-core/src/limits/tests.rs
+++ b/crates/guavawell-core/src/limits/tests.rs
@@ -19,7 +19,7 @@
 };
 
 #[test]
-fn a_retry_is_paid_for_once() {
+fn a_retry_is_withdrawn_once() {
     explore("three withdrawals of two retries", || {
         let budget = Arc::new(RetryBudget::new(SETTINGS));
         let others: Vec<_> = (0..2)
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_deposit_meets_a_withdrawal_and_neither_is_lost() {
+fn concurrent_deposits_and_withdrawals_are_both_counted() {
     explore("two deposits against two withdrawals", || {
         let budget = Arc::new(RetryBudget::new(RetrySettings {
             per_success: 500,
@@ -59,24 +59,24 @@
 
 /// The planted fault: reads and writes in two steps.
 #[derive(Debug)]
-struct TornBudget(AtomicU64);
+struct NonAtomicBudget(AtomicU64);
 
-impl TornBudget {
+impl NonAtomicBudget {
     fn withdraw(&self) -> bool {
-        let saved = self.0.load(Ordering::Relaxed);
-        if saved == 0 {
+        let balance = self.0.load(Ordering::Relaxed);
+        if balance == 0 {
             return false;
         }
-        self.0.store(saved - 1, Ordering::Relaxed);
+        self.0.store(balance - 1, Ordering::Relaxed);
         true
     }
 }
 
 #[test]
 #[should_panic(expected = "one retry, granted twice")]
-fn a_withdrawal_in_two_steps_is_caught() {
+fn a_withdrawal_in_two_steps_is_detected() {
     explore("planted: withdrawal in two steps", || {
-        let budget = Arc::new(TornBudget(AtomicU64::new(1)));
+        let budget = Arc::new(NonAtomicBudget(AtomicU64::new(1)));
         let other = Arc::clone(&budget);
         let other = thread::spawn(move || other.withdraw());
         let own = budget.withdraw();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn threads_that_meet_one_overload_decrease_once() {
+fn threads_that_see_the_same_overload_decrease_once() {
     explore("two overloads of one moment", || {
         let limit = Arc::new(ConcurrencyLimit::new(1, 100, 1_000));
         let other = Arc::clone(&limit);
--- a/crates/guavawell-core/src/limits/ticket.rs
+++ b/crates/guavawell-core/src/limits/ticket.rs
@@ -115,7 +115,7 @@
 
 /// One request that asks to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// The request, by a ticket of
     /// [`AdmissionGate::ticket`](super::AdmissionGate::ticket).
     pub ticket: AdmissionTicket,
@@ -133,7 +133,7 @@
     pub first_token: ClockSpan,
 }
 
-impl AdmissionAsk {
+impl AdmissionRequest {
     /// The last moment at which running it still meets the deadline.
     #[must_use]
     pub fn latest_start(&self) -> Option<ClockTime> {
@@ -151,12 +151,12 @@
     /// The queue is full.
     QueueFull,
     /// The expected wait is longer than a request may wait.
-    LongWait,
+    WaitTooLong,
 }
 
 /// A refusal, to be answered at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitRefusal {
+pub struct AdmissionRefusal {
     /// Why.
     pub cause: RefusalCause,
     /// When a later try may be admitted, as estimated now.
@@ -172,7 +172,7 @@
     /// It waits; an [`AdmissionEffect`] will follow.
     Queued,
     /// Refuse it now.
-    Refused(WaitRefusal),
+    Refused(AdmissionRefusal),
 }
 
 /// What becomes of a request that waited.
@@ -182,5 +182,5 @@
     /// when it has ended.
     Run(AdmissionTicket),
     /// Answer it with a refusal now.
-    Refuse(AdmissionTicket, WaitRefusal),
+    Refuse(AdmissionTicket, AdmissionRefusal),
 }
--- a/crates/guavawell-core/tests/burst.rs
+++ b/crates/guavawell-core/tests/burst.rs
@@ -10,7 +10,7 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::limits::Admission;
 use guavawell_core::limits::AdmissionAnswer;
-use guavawell_core::limits::AdmissionAsk;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionSettings;
 use guavawell_core::limits::AdmissionTicket;
 use guavawell_core::limits::FairWeight;
@@ -71,8 +71,8 @@
     admission
 }
 
-fn ask(ticket: u64, organisation: &str) -> AdmissionAsk {
-    AdmissionAsk {
+fn request(ticket: u64, organisation: &str) -> AdmissionRequest {
+    AdmissionRequest {
         ticket: AdmissionTicket::new(ticket),
         organisation: organisation.parse().expect("organisation"),
         weight: FairWeight::default(),
@@ -87,7 +87,7 @@
 fn burst(admission: &mut Admission, count: u64, organisations: &[&str]) -> [usize; 3] {
     let mut outcome = [0; 3];
     for (ticket, name) in (0..count).zip(organisations.iter().cycle()) {
-        match admission.submit(ask(ticket, name), NOW, &mut Vec::new()) {
+        match admission.submit(request(ticket, name), NOW, &mut Vec::new()) {
             AdmissionAnswer::Run => outcome[0] += 1,
             AdmissionAnswer::Queued => outcome[1] += 1,
             AdmissionAnswer::Refused(_) => outcome[2] += 1,
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_routers_parts_of_what_is_free_add_up_to_it() {
+fn the_routers_parts_of_the_free_slots_add_up_to_them() {
     let table = table(6);
     report(&table, 3_496, 4_096, NOW);
     assert_eq!(table.capacity(&target(), NOW), 2 * 600 / 6);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_server_without_reports_is_not_judged_by_a_guess_of_its_slots() {
+fn a_server_without_reports_is_not_limited_by_a_guess_of_its_slots() {
     let mut admission = reviewed(&table(2));
     let organisations = ["a", "b", "c", "d"];
     let [run, queued, refused] = burst(&mut admission, 128, &organisations);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_wait_measured_at_a_low_limit_says_nothing_of_a_higher_one() {
+fn the_expected_wait_follows_a_raised_limit() {
     let mut admission = Admission::new(AdmissionSettings {
         limit: 1,
         ..AdmissionSettings::default()
@@ -158,28 +158,28 @@
     for seconds in 1..=3 {
         let now = later(seconds * 1_000);
         admission.finish(&organisation, now, &mut Vec::new());
-        admission.submit(ask(10 + seconds, "a"), now, &mut Vec::new());
+        admission.submit(request(10 + seconds, "a"), now, &mut Vec::new());
     }
     let now = later(3_000);
     admission.set_limit(100, now, &mut Vec::new());
     for ticket in 100..250 {
-        let answer = admission.submit(ask(ticket, "a"), now, &mut Vec::new());
+        let answer = admission.submit(request(ticket, "a"), now, &mut Vec::new());
         assert!(!matches!(answer, AdmissionAnswer::Refused(_)), "{ticket}");
     }
     // Those that wait, at a hundred a second.
     let expected = admission.view().waiting as u64 * 10;
-    let wait = admission.expected_wait(&ask(250, "a"), now).as_millis();
+    let wait = admission.expected_wait(&request(250, "a"), now).as_millis();
     assert!((expected..=expected + 20).contains(&wait), "{wait}");
 }
 
 #[test]
-fn ends_in_clumps_are_no_silence() {
+fn requests_that_end_together_do_not_lengthen_the_expected_wait() {
     let mut admission = small_queue(64);
     burst(&mut admission, 128, &["a"]);
     let organisation = "a".parse().expect("id");
     let mut effects = Vec::new();
     (0..32).for_each(|_| admission.finish(&organisation, later(1_000), &mut effects));
-    let wait = admission.expected_wait(&ask(200, "a"), later(1_100));
+    let wait = admission.expected_wait(&request(200, "a"), later(1_100));
     assert!(wait.as_millis() <= 1_000, "{wait}");
 }
 
--- a/crates/guavawell-fleet/src/router/admit.rs
+++ b/crates/guavawell-fleet/src/router/admit.rs
@@ -12,13 +12,13 @@
 use guavawell_core::id::OrganisationId;
 use guavawell_core::limits::Admission;
 use guavawell_core::limits::AdmissionAnswer;
-use guavawell_core::limits::AdmissionAsk;
 use guavawell_core::limits::AdmissionEffect;
 use guavawell_core::limits::AdmissionGate;
+use guavawell_core::limits::AdmissionRefusal;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionSettings;
 use guavawell_core::limits::AdmissionTicket;
 use guavawell_core::limits::RequestPriority;
-use guavawell_core::limits::WaitRefusal;
 use smol::channel;
 use smol::channel::Sender;
 
@@ -42,7 +42,7 @@
     ticket: AdmissionTicket,
     /// The right to run, as soon as the ticket's turn comes.
     claim: PassClaim,
-    word: Sender<Result<AdmissionPass, WaitRefusal>>,
+    word: Sender<Result<AdmissionPass, AdmissionRefusal>>,
 }
 
 /// What a pass is made of.
@@ -63,7 +63,7 @@
     /// The target is not served.
     NoTarget,
     /// Refused as stated.
-    Refused(WaitRefusal),
+    Refused(AdmissionRefusal),
 }
 
 impl AdmissionDoor {
@@ -96,7 +96,7 @@
     pub async fn enter(
         self: &Arc<Self>,
         target: &RouteTarget,
-        ask: AdmissionAsk,
+        ask: AdmissionRequest,
     ) -> Result<AdmissionPass, NotAdmitted> {
         let shard = self
             .gate
--- a/crates/guavawell-fleet/src/router/serve.rs
+++ b/crates/guavawell-fleet/src/router/serve.rs
@@ -9,7 +9,7 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::BackendId;
 use guavawell_core::id::TokenCount;
-use guavawell_core::limits::AdmissionAsk;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::RefusalCause;
 use guavawell_core::limits::RequestPriority;
 use guavawell_core::manifest::FleetView;
@@ -270,7 +270,7 @@
 ) -> Result<AdmissionPass, Refusal> {
     let now = clock::now();
     let deadline: Option<ClockTime> = entry.head.deadline.map(|span| now + span);
-    let ask = AdmissionAsk {
+    let ask = AdmissionRequest {
         ticket: core.door.ticket(),
         organisation: entry.head.identity.organisation.clone(),
         weight: entry.weight,
@@ -292,7 +292,7 @@
             let (reason, detail) = match refusal.cause {
                 RefusalCause::Deadline => (RefusalReason::Deadline, "the deadline cannot be met"),
                 RefusalCause::QueueFull => (RefusalReason::Overloaded, "the queue is full"),
-                RefusalCause::LongWait => {
+                RefusalCause::WaitTooLong => {
                     let detail = "the expected wait is longer than a request may wait";
                     (RefusalReason::Overloaded, detail)
                 }
--- a/crates/guavawell-fleet/src/router/tests.rs
+++ b/crates/guavawell-fleet/src/router/tests.rs
@@ -18,7 +18,7 @@
 use guavawell_core::id::ManifestVersion;
 use guavawell_core::instance::MemberRecord;
 use guavawell_core::instance::Reachability;
-use guavawell_core::limits::AdmissionAsk;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionSettings;
 use guavawell_core::limits::FairWeight;
 use guavawell_core::limits::RequestPriority;
@@ -247,7 +247,7 @@
 }
 
 async fn enter(door: &Arc<AdmissionDoor>) -> Result<AdmissionPass, NotAdmitted> {
-    let ask = AdmissionAsk {
+    let ask = AdmissionRequest {
         ticket: door.ticket(),
         organisation: "o".parse().unwrap(),
         weight: FairWeight::default(),
