--- a/crates/guavawell-core/src/forward/plan.rs
+++ b/crates/guavawell-core/src/forward/plan.rs
@@ -41,17 +41,17 @@
 
 /// Decides what follows an attempt.
 ///
-/// `may_repeat` tells whether attempts, time and the allowance for repeats
+/// `may_retry` tells whether attempts, time and the allowance for repeats
 /// leave room for one more. A request that may run once goes on only after
 /// proof that it did not run.
 #[must_use]
-pub fn next_step(repeat: RepeatKind, end: AttemptEnd, may_repeat: bool) -> NextStep {
+pub fn next_step(repeat: RepeatKind, end: AttemptEnd, may_retry: bool) -> NextStep {
     let runs_again = repeat != RepeatKind::Once;
     match end {
-        AttemptEnd::NotSent | AttemptEnd::Rejected if may_repeat => NextStep::Again,
+        AttemptEnd::NotSent | AttemptEnd::Rejected if may_retry => NextStep::Again,
         AttemptEnd::NotSent => NextStep::Refuse(ForwardRefusal::NoServer),
         AttemptEnd::Rejected => NextStep::Refuse(ForwardRefusal::ServersFull),
-        _ if may_repeat && runs_again => NextStep::Again,
+        _ if may_retry && runs_again => NextStep::Again,
         AttemptEnd::Failed => NextStep::Relay,
         AttemptEnd::Lost => NextStep::Refuse(ForwardRefusal::AnswerLost),
         AttemptEnd::Silent => NextStep::Refuse(ForwardRefusal::TimedOut),
--- a/crates/guavawell-core/src/id/text.rs
+++ b/crates/guavawell-core/src/id/text.rs
@@ -29,7 +29,7 @@
     },
 }
 
-fn check(text: &str) -> Result<(), IdError> {
+fn validate(text: &str) -> Result<(), IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -71,7 +71,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -80,7 +80,7 @@
             type Error = IdError;
 
             fn try_from(text: Box<str>) -> Result<Self, IdError> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text))
             }
         }
--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -164,7 +164,7 @@
 
     /// Whether the request may be retried after a failed attempt.
     #[must_use]
-    pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
+    pub fn may_retry(&self, fingerprint: RequestFingerprint) -> bool {
         self.mark(fingerprint).crashes < self.settings.single_attempt_threshold
     }
 
--- a/crates/guavawell-core/tests/poison/simulation.rs
+++ b/crates/guavawell-core/tests/poison/simulation.rs
@@ -369,7 +369,7 @@
             self.tables[instance].verdict(fingerprint, at(self.now)),
             PoisonVerdict::Refused(_) | PoisonVerdict::Undecided(_)
         );
-        if attempts < MAX_ATTEMPTS && !refused && self.tables[instance].may_repeat(fingerprint) {
+        if attempts < MAX_ATTEMPTS && !refused && self.tables[instance].may_retry(fingerprint) {
             self.send(fingerprint, instance, attempts + 1, tries);
         } else if tries < MAX_TRIES {
             self.receive(fingerprint, 1, tries + 1);
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -72,9 +72,9 @@
 fn no_retry_follows_a_second_crash() {
     let mut table = table();
     crash(&mut table, REQUEST, NOW);
-    assert!(table.may_repeat(REQUEST));
+    assert!(table.may_retry(REQUEST));
     crash(&mut table, REQUEST, NOW);
-    assert!(!table.may_repeat(REQUEST));
+    assert!(!table.may_retry(REQUEST));
 }
 
 #[test]
--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -258,7 +258,7 @@
     progress: &RequestProgress,
 ) -> ClockSpan {
     let left = router.clock.left(call.ends_at);
-    let last = progress.sent >= call.route.attempts || !router.poison.may_repeat(call.fingerprint);
+    let last = progress.sent >= call.route.attempts || !router.poison.may_retry(call.fingerprint);
     let times = &router.settings.times;
     let limit = match call.route.repeat {
         _ if last => left,
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -135,8 +135,8 @@
 
     /// Whether another attempt of the same request may follow one that failed.
     #[must_use]
-    pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
-        self.table.borrow().may_repeat(fingerprint)
+    pub fn may_retry(&self, fingerprint: RequestFingerprint) -> bool {
+        self.table.borrow().may_retry(fingerprint)
     }
 
     /// A server crashed under an attempt.
--- a/crates/guavawell-forward/src/send.rs
+++ b/crates/guavawell-forward/src/send.rs
@@ -109,7 +109,7 @@
         progress.outcome.note(end);
         note_attempt(router, call, &pick, end);
         failure = answer.or(failure);
-        let again = may_repeat(router, call, &progress, end);
+        let again = may_retry(router, call, &progress, end);
         let refusal = match next_step(call.route.repeat, end, again) {
             NextStep::Again => continue,
             NextStep::Relay => ForwardRefusal::AnswerLost,
@@ -195,7 +195,7 @@
 }
 
 /// Whether attempts, time and the allowance leave room for one more.
-fn may_repeat(
+fn may_retry(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
@@ -212,7 +212,7 @@
         return false;
     }
     progress.sent < call.route.attempts
-        && router.poison.may_repeat(call.fingerprint)
+        && router.poison.may_retry(call.fingerprint)
         && router.take_repeat(&call.service)
 }
 
