--- a/crates/guavawell-core/src/clock/mod.rs
+++ b/crates/guavawell-core/src/clock/mod.rs
@@ -1,6 +1,7 @@
-//! The project's one clock type: milliseconds since an epoch the caller owns.
+//! Time points and durations in milliseconds, shared by the whole project.
 //!
-//! It never reads a clock; callers pass times in.
+//! This module never reads a clock: callers pass the time in, and choose the
+//! epoch that it counts from.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -10,16 +11,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in time, in milliseconds.
+/// A point in time, in milliseconds since an epoch.
 ///
-/// Production counts from the Unix epoch; tests count from zero.
+/// In production this is the Unix epoch; tests start at zero.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct ClockTime(u64);
 
-/// A span of time, in milliseconds.
+/// A duration, in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -39,7 +40,7 @@
         self.0
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies ahead.
+    /// Time passed since `earlier`, or zero if `earlier` is later than `self`.
     #[must_use]
     pub const fn since(self, earlier: Self) -> ClockSpan {
         ClockSpan(self.0.saturating_sub(earlier.0))
@@ -47,16 +48,16 @@
 }
 
 impl ClockSpan {
-    /// No time at all.
+    /// The empty duration.
     pub const ZERO: Self = Self(0);
 
-    /// A span of `millis` milliseconds.
+    /// A duration of `millis` milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// The span in milliseconds.
+    /// The duration in milliseconds.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0
--- a/crates/guavawell-core/src/event/mod.rs
+++ b/crates/guavawell-core/src/event/mod.rs
@@ -1,6 +1,6 @@
-//! The structured event that feeds the time line, one JSON object a line.
+//! The structured event record of the fleet's time line, one JSON object per line.
 //!
-//! Owns the record's form. When something is worth an event is not decided here.
+//! This module defines only the format of a record, not which events are recorded.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,20 +15,20 @@
 
 /// One event of one process.
 ///
-/// `order` is a Lamport clock: a process raises it with each event and moves
-/// it past the order carried by each message that it receives, so that a
-/// cause sorts before its effect even where wall clocks differ.
+/// `order` is a Lamport clock: a process increments it with each event, and
+/// advances it past the order in each message that it receives. So a cause sorts
+/// before its effect even if wall clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// The process's own wall clock, in milliseconds.
+    /// The wall clock of the process, in milliseconds.
     pub at: ClockTime,
     /// The Lamport clock.
     pub order: u64,
-    /// The process that saw the event.
+    /// The instance that recorded the event.
     pub instance: InstanceId,
-    /// That process's life.
+    /// The run of that instance's process.
     pub incarnation: IncarnationId,
-    /// What happened, as `subject.verb`, for instance `slot.taken_over`.
+    /// What happened, as `subject.verb`, for example `slot.taken_over`.
     pub kind: Box<str>,
     /// The organisation concerned, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -42,12 +42,12 @@
     /// The attempt concerned, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub attempt: Option<AttemptId>,
-    /// Further fields of this kind of event, sorted by name.
+    /// Additional fields of this kind of event, sorted by name.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub detail: Vec<EventField>,
 }
 
-/// One further field of an event.
+/// An additional field of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventField {
     /// The field's name.
--- a/crates/guavawell-core/src/id/mod.rs
+++ b/crates/guavawell-core/src/id/mod.rs
@@ -1,6 +1,5 @@
-//! Newtypes for the ids, numbers and token counts that the fleet passes around.
-//!
-//! Owns their forms and arithmetic. No rule of the fleet stands here.
+//! Newtypes for ids, numbers and token counts, with their text forms and
+//! arithmetic.
 
 mod number;
 mod text;
--- a/crates/guavawell-core/src/id/number.rs
+++ b/crates/guavawell-core/src/id/number.rs
@@ -1,4 +1,4 @@
-//! Ids and numbers that the fleet chooses itself.
+//! Ids and numbers that the fleet assigns.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -53,17 +53,18 @@
 }
 
 number_id!(
-    /// One of the parts that organisations hash into.
+    /// A shard. Organisations are assigned to shards by hash.
     ShardId,
     u16
 );
 number_id!(
-    /// The epoch of a slot; it rises with every change of holder or witness.
+    /// The epoch of a slot. It increases with every change of holder or witness.
     SlotEpoch,
     u64
 );
 number_id!(
-    /// One life of an instance, drawn anew at each start.
+    /// Identifies one run of an instance's process. Generated at each start; a later
+    /// run has a greater id, unless the clock was set back.
     IncarnationId,
     u64
 );
@@ -73,23 +74,25 @@
     u64
 );
 number_id!(
-    /// A span of the fleet's life, by which the age of claims is known.
+    /// A generation of claims. The fleet starts a new one from time to time, so that
+    /// the age of a claim is known.
     ClaimGeneration,
     u64
 );
 number_id!(
-    /// A fencing number carried by orders to model engines.
+    /// A fencing token carried by commands to model engines.
     FenceNumber,
     u64
 );
 
-/// One attempt to run a request, unique over the fleet's life.
+/// Identifies one attempt to run a request. Unique across the fleet and its
+/// restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
 pub struct AttemptId(u128);
 
 impl AttemptId {
-    /// Wraps a 128-bit number, drawn at random by the fleet.
+    /// Wraps a 128-bit number, which the caller draws at random.
     #[must_use]
     pub const fn new(number: u128) -> Self {
         Self(number)
--- a/crates/guavawell-core/src/id/text.rs
+++ b/crates/guavawell-core/src/id/text.rs
@@ -1,4 +1,4 @@
-//! Ids that operators and callers choose as text.
+//! Text ids that operators and callers choose.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 /// Longest accepted text id, in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
-/// Why a text is not an id.
+/// The text is not a valid id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
@@ -19,7 +19,7 @@
     /// The text is longer than [`MAX_ID_BYTES`].
     #[error("`{0}` is longer than {MAX_ID_BYTES} bytes")]
     TooLong(Box<str>),
-    /// The text holds a character outside `A-Z a-z 0-9 . _ : -`.
+    /// The text contains a character outside `A-Z a-z 0-9 . _ : -`.
     #[error("`{text}` holds `{character}`; use letters, digits, `.`, `_`, `:` and `-`")]
     BadCharacter {
         /// The rejected text.
@@ -106,7 +106,7 @@
     ModelId
 );
 text_id!(
-    /// A plain service, as named in the manifest.
+    /// A service that is not a model, as named in the manifest.
     ServiceId
 );
 text_id!(
@@ -114,7 +114,7 @@
     ZoneId
 );
 text_id!(
-    /// An entry instance, as named in its settings.
+    /// An instance of the entry process, as named in its settings.
     InstanceId
 );
 text_id!(
@@ -122,6 +122,6 @@
     BackendId
 );
 text_id!(
-    /// A request id: the caller's idempotency key, or one minted by a router.
+    /// A request id: the caller's idempotency key, or an id that a router generated.
     RequestId
 );
--- a/crates/guavawell-core/src/id/tokens.rs
+++ b/crates/guavawell-core/src/id/tokens.rs
@@ -1,4 +1,4 @@
-//! Token counts: the fleet's unit of money.
+//! Token counts, the unit in which budgets are prepaid and requests are charged.
 
 use std::fmt;
 use std::iter::Sum;
@@ -8,9 +8,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A number of prepaid tokens.
+/// A number of tokens.
 ///
-/// Arithmetic is checked or saturating by name; nothing wraps.
+/// Arithmetic is either checked or saturating, as the method names say. It never
+/// wraps around.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -33,7 +34,7 @@
         self.0
     }
 
-    /// The sum, or `None` past the largest count.
+    /// The sum, or `None` if it exceeds the largest count.
     #[must_use]
     pub fn checked_add(self, other: Self) -> Option<Self> {
         self.0.checked_add(other.0).map(Self)
@@ -45,13 +46,13 @@
         self.0.checked_sub(other.0).map(Self)
     }
 
-    /// The sum, held at the largest count.
+    /// The sum, limited to the largest count.
     #[must_use]
     pub const fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// The difference, held at zero.
+    /// The difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
