--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -87,7 +87,7 @@
     /// When the mark last changed.
     pub mark_changed_at: ClockTime,
     /// When the mark last changed or the request was last refused.
-    pub at: ClockTime,
+    pub refreshed_at: ClockTime,
     /// Whether this instance publishes the entry in its row of the store.
     published: bool,
 }
@@ -150,7 +150,7 @@
             return PoisonVerdict::Clear;
         };
         let entry = &self.entries[index];
-        let remaining = (entry.at + self.settings.retention).since(now);
+        let remaining = (entry.refreshed_at + self.settings.retention).since(now);
         match entry.mark.crashes {
             _ if remaining == ClockSpan::ZERO => PoisonVerdict::Clear,
             0 => PoisonVerdict::Clear,
@@ -171,7 +171,7 @@
     /// Records that a request was refused, which restarts its retention.
     pub fn refused(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
         if let Ok(index) = self.find(fingerprint) {
-            self.entries[index].at = now;
+            self.entries[index].refreshed_at = now;
         }
     }
 
@@ -266,10 +266,10 @@
     /// The entries for this instance's row, in descending order of suspicion
     /// and newest first among equals.
     #[must_use]
-    pub fn told(&self, now: ClockTime) -> Vec<SharedSuspicion> {
+    pub fn published_entries(&self, now: ClockTime) -> Vec<SharedSuspicion> {
         let published = self.entries.iter().filter(|entry| entry.published);
         let mut published: Vec<&SuspicionEntry> = published.collect();
-        published.sort_by_key(|entry| Reverse((eviction_rank(entry.mark), entry.at)));
+        published.sort_by_key(|entry| Reverse((eviction_rank(entry.mark), entry.refreshed_at)));
         published.truncate(self.settings.max_published);
         published
             .into_iter()
@@ -280,7 +280,8 @@
     /// Removes expired entries.
     pub fn sweep(&mut self, now: ClockTime) {
         let retention = self.settings.retention;
-        self.entries.retain(|entry| now < entry.at + retention);
+        self.entries
+            .retain(|entry| now < entry.refreshed_at + retention);
     }
 
     /// The servers counted against a request, if its entry has had no reset
@@ -298,7 +299,8 @@
 
     fn was_answered(&self, fingerprint: RequestFingerprint, now: ClockTime) -> bool {
         let recent = self.answers.iter().rev();
-        let mut recent = recent.take_while(|(at, _)| now.since(*at) < self.settings.answer_span);
+        let mut recent = recent
+            .take_while(|(answered_at, _)| now.since(*answered_at) < self.settings.answer_span);
         recent.any(|(_, existing)| *existing == fingerprint)
     }
 
@@ -311,16 +313,16 @@
         if suspicion.age >= self.settings.retention {
             return None;
         }
-        let at = now.as_millis().saturating_sub(suspicion.age.as_millis());
-        let at = ClockTime::from_millis(at);
+        let refreshed_at = now.as_millis().saturating_sub(suspicion.age.as_millis());
+        let refreshed_at = ClockTime::from_millis(refreshed_at);
         let Ok(index) = self.find(suspicion.fingerprint) else {
             self.insert(SuspicionEntry {
                 fingerprint: suspicion.fingerprint,
                 organisation: suspicion.organisation,
                 mark: suspicion.mark,
                 servers: suspicion.servers,
-                mark_changed_at: at,
-                at,
+                mark_changed_at: refreshed_at,
+                refreshed_at,
                 published,
             });
             return Some(MarkChange {
@@ -343,8 +345,8 @@
             return None;
         }
         entry.mark = suspicion.mark;
-        entry.mark_changed_at = at;
-        entry.at = at;
+        entry.mark_changed_at = refreshed_at;
+        entry.refreshed_at = refreshed_at;
         Some(MarkChange {
             fingerprint: suspicion.fingerprint,
             before,
@@ -376,7 +378,7 @@
         let indices = (0..self.entries.len()).filter(|index| evictable(&self.entries[*index]));
         let least = indices.min_by_key(|index| {
             let entry = &self.entries[*index];
-            (eviction_rank(entry.mark), entry.at)
+            (eviction_rank(entry.mark), entry.refreshed_at)
         });
         if let Some(index) = least {
             self.entries.remove(index);
@@ -396,7 +398,7 @@
             organisation: self.organisation,
             mark: self.mark,
             servers: self.servers,
-            age: now.since(self.at),
+            age: now.since(self.refreshed_at),
         }
     }
 }
--- a/crates/guavawell-core/tests/poison/simulation.rs
+++ b/crates/guavawell-core/tests/poison/simulation.rs
@@ -399,7 +399,7 @@
             }
         }
         if self.scenario.fault != InjectedFault::RowsNotStored {
-            let entries = self.tables[from].told(at(self.now));
+            let entries = self.tables[from].published_entries(at(self.now));
             self.rows.insert(from, entries.clone());
             for to in 0..INSTANCES {
                 self.row_reads.push(RowRead {
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -262,7 +262,7 @@
     }
     assert_eq!(table.entries().len(), settings.max_requests);
     assert!(is_refused(&table, REQUEST, later(1_000)));
-    let published = table.told(later(0));
+    let published = table.published_entries(later(0));
     assert_eq!(published.len(), settings.max_published);
     assert_eq!(published[0].fingerprint, REQUEST);
 }
@@ -284,7 +284,7 @@
     table.learn(suspicion(3), true, NOW);
     crash(&mut table, REQUEST, NOW);
     let mut fingerprints: Vec<_> = table
-        .told(NOW)
+        .published_entries(NOW)
         .iter()
         .map(|entry| entry.fingerprint)
         .collect();
@@ -301,7 +301,7 @@
         crash(&mut table, fingerprint, NOW);
     }
     let encoded_bytes = |count: usize| {
-        let mut entries = table.told(later(3_600_000));
+        let mut entries = table.published_entries(later(3_600_000));
         entries.truncate(count);
         let list = SuspicionList {
             told_at: Some(later(3_600_000)),
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -238,7 +238,7 @@
                 PoisonVerdict::Undecided(_) => "undecided",
                 PoisonVerdict::Refused(_) => "refused",
             };
-            let age = now.since(entry.at).as_millis();
+            let age = now.since(entry.refreshed_at).as_millis();
             let (fingerprint, mark) = (entry.fingerprint, entry.mark);
             format!(
                 "{fingerprint} {verdict} crashes={} age_ms={age}\n",
--- a/crates/guavawell-forward/src/poison/publish.rs
+++ b/crates/guavawell-forward/src/poison/publish.rs
@@ -54,7 +54,7 @@
         let now = self.clock.now();
         let list = SuspicionList {
             told_at: self.store_clock.get().now(now),
-            entries: self.table.borrow().told(now),
+            entries: self.table.borrow().published_entries(now),
         };
         let bytes =
             encode_row(&list).map_err(|error| StoreFault::NotDone(error.to_string().into()))?;
