--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -1,4 +1,4 @@
-//! What one instance believes of requests that may crash servers.
+//! The table of suspected requests of one instance.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -12,86 +12,90 @@
 use crate::poison::SharedSuspicion;
 use crate::poison::SuspicionMark;
 
-/// Bounds of belief.
+/// Thresholds, time spans and sizes of a [`PoisonTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoisonSettings {
-    /// Crashes in a row from which on a request is refused.
-    pub refused_from: u8,
-    /// Crashes in a row from which on an attempt is not followed by another one
-    /// of the same request.
-    pub single_from: u8,
-    /// How long a mark lasts after its last change or refusal. One that clears
-    /// lasts as long as any that it took back.
-    pub lasts: ClockSpan,
-    /// How long a request with so many crashes waits for what others know of it
-    /// before it is refused: an answer that one of them saw is told in turn.
-    pub settles_in: ClockSpan,
-    /// How long a complete answer tells that a request crashes no servers, also
-    /// where a crash becomes known only after it.
-    pub answer_tells: ClockSpan,
-    /// Answers that are remembered: popular requests are among any thousand.
-    pub answers: usize,
-    /// Requests that are remembered: about 40 bytes each.
-    pub most: usize,
-    /// Requests of one organisation that are remembered, so that none can push
-    /// out what is believed of others.
-    pub most_each: usize,
-    /// Requests that are told to others at a time.
-    pub most_told: usize,
+    /// Consecutive crashes from which a request is refused.
+    pub refusal_threshold: u8,
+    /// Consecutive crashes from which a request is no longer retried after a
+    /// failed attempt.
+    pub single_attempt_threshold: u8,
+    /// How long an entry is kept after its mark changed or its request was last
+    /// refused. A mark that was reset is kept as long, so that it outlives the
+    /// earlier marks that other instances may still send.
+    pub retention: ClockSpan,
+    /// How long a request is held after its crashes reached
+    /// `refusal_threshold`, before it is refused. In this time another instance
+    /// that saw an answer can send the reset.
+    pub settle_span: ClockSpan,
+    /// How long after a complete answer crashes of the request are ignored. A
+    /// crash that preceded the answer may become known only after it.
+    pub answer_span: ClockSpan,
+    /// Number of recent answers remembered. Popular requests occur in any
+    /// thousand answers.
+    pub max_answers: usize,
+    /// Most entries in the table, about 40 bytes each.
+    pub max_requests: usize,
+    /// Most entries of one organisation, so that none can evict those of others.
+    pub max_requests_per_organisation: usize,
+    /// Most entries in one row of the store or one message to other instances.
+    pub max_published: usize,
 }
 
 impl Default for PoisonSettings {
     fn default() -> Self {
         Self {
-            refused_from: 3,
-            single_from: 2,
-            lasts: ClockSpan::from_millis(600_000),
-            settles_in: ClockSpan::from_millis(700),
-            answer_tells: ClockSpan::from_millis(10_000),
-            answers: 1_024,
-            most: 2_048,
-            most_each: 512,
-            most_told: 256,
+            refusal_threshold: 3,
+            single_attempt_threshold: 2,
+            retention: ClockSpan::from_millis(600_000),
+            settle_span: ClockSpan::from_millis(700),
+            answer_span: ClockSpan::from_millis(10_000),
+            max_answers: 1_024,
+            max_requests: 2_048,
+            max_requests_per_organisation: 512,
+            max_published: 256,
         }
     }
 }
 
-/// What is to be done with a request.
+/// How to handle a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoisonVerdict {
-    /// Nothing is believed of it.
+    /// The request is not suspected.
     Clear,
-    /// Servers crashed under it; it is sent, apart from other suspects.
+    /// The request is suspected: send it to a server without other suspected
+    /// requests.
     Suspect,
-    /// It is held for so long, until others had time to tell what they know.
+    /// Hold the request for this long, so that other instances can send a reset.
     Undecided(ClockSpan),
-    /// It is refused, for so long if it does not come again.
+    /// Refuse the request. The refusal expires after this long, and each refused
+    /// request restarts that time.
     Refused(ClockSpan),
 }
 
-/// What is believed of one request.
+/// One suspected request in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionEntry {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// The organisation that sent the request.
     pub organisation: OrganisationTag,
-    /// How far it is suspected.
+    /// The degree of suspicion.
     pub mark: SuspicionMark,
-    /// The servers whose crashes the mark counts.
+    /// The last servers whose crashes `mark` counts.
     servers: CrashedServers,
-    /// When the mark changed.
-    pub marked_at: ClockTime,
-    /// When the mark changed, or the request was last refused.
-    pub at: ClockTime,
-    /// Whether this instance tells it to those that read its row.
-    own: bool,
+    /// When the mark last changed.
+    pub mark_changed_at: ClockTime,
+    /// When the mark last changed or the request was last refused.
+    pub refreshed_at: ClockTime,
+    /// Whether this instance publishes the entry in its row of the store.
+    published: bool,
 }
 
-/// A change of belief.
+/// A change of the mark of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MarkChange {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
     /// The mark before.
     pub before: SuspicionMark,
@@ -99,18 +103,18 @@
     pub mark: SuspicionMark,
 }
 
-/// Requests that may crash servers, as one instance knows them.
+/// The suspected requests that one instance knows of, and its recent answers.
 #[derive(Clone, Debug)]
 pub struct PoisonTable {
     settings: PoisonSettings,
     /// Sorted by fingerprint.
     entries: Vec<SuspicionEntry>,
-    /// Requests that were answered here lately, oldest first.
+    /// Requests that this instance answered recently, oldest first.
     answers: VecDeque<(ClockTime, RequestFingerprint)>,
 }
 
 impl PoisonTable {
-    /// A table that knows nothing.
+    /// An empty table.
     #[must_use]
     pub const fn new(settings: PoisonSettings) -> Self {
         Self {
@@ -120,97 +124,98 @@
         }
     }
 
-    /// Its settings.
+    /// The settings of the table.
     #[must_use]
     pub const fn settings(&self) -> &PoisonSettings {
         &self.settings
     }
 
-    /// All that is believed, sorted by fingerprint.
+    /// All entries, sorted by fingerprint.
     #[must_use]
     pub fn entries(&self) -> &[SuspicionEntry] {
         &self.entries
     }
 
-    /// How far a request is suspected.
+    /// The mark of a request, or the default if it is not in the table.
     #[must_use]
     pub fn mark(&self, fingerprint: RequestFingerprint) -> SuspicionMark {
         self.find(fingerprint)
-            .map_or(SuspicionMark::default(), |place| self.entries[place].mark)
+            .map_or(SuspicionMark::default(), |index| self.entries[index].mark)
     }
 
-    /// What is to be done with a request.
+    /// How to handle a request.
     #[must_use]
     pub fn verdict(&self, fingerprint: RequestFingerprint, now: ClockTime) -> PoisonVerdict {
-        let Ok(place) = self.find(fingerprint) else {
+        let Ok(index) = self.find(fingerprint) else {
             return PoisonVerdict::Clear;
         };
-        let entry = &self.entries[place];
-        let rest = (entry.at + self.settings.lasts).since(now);
+        let entry = &self.entries[index];
+        let remaining = (entry.refreshed_at + self.settings.retention).since(now);
         match entry.mark.crashes {
-            _ if rest == ClockSpan::ZERO => PoisonVerdict::Clear,
+            _ if remaining == ClockSpan::ZERO => PoisonVerdict::Clear,
             0 => PoisonVerdict::Clear,
-            crashes if crashes < self.settings.refused_from => PoisonVerdict::Suspect,
-            _ => match (entry.marked_at + self.settings.settles_in).since(now) {
-                ClockSpan::ZERO => PoisonVerdict::Refused(rest),
+            crashes if crashes < self.settings.refusal_threshold => PoisonVerdict::Suspect,
+            _ => match (entry.mark_changed_at + self.settings.settle_span).since(now) {
+                ClockSpan::ZERO => PoisonVerdict::Refused(remaining),
                 settles => PoisonVerdict::Undecided(settles),
             },
         }
     }
 
-    /// Whether another attempt of the same request may follow one that failed.
+    /// Whether the request may be retried after a failed attempt.
     #[must_use]
-    pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
-        self.mark(fingerprint).crashes < self.settings.single_from
+    pub fn may_retry(&self, fingerprint: RequestFingerprint) -> bool {
+        self.mark(fingerprint).crashes < self.settings.single_attempt_threshold
     }
 
-    /// A refused request came again: it is remembered for longer.
+    /// Records that a request was refused, which restarts its retention.
     pub fn refused(&mut self, fingerprint: RequestFingerprint, now: ClockTime) {
-        if let Ok(place) = self.find(fingerprint) {
-            self.entries[place].at = now;
+        if let Ok(index) = self.find(fingerprint) {
+            self.entries[index].refreshed_at = now;
         }
     }
 
-    /// A server crashed under an attempt that began when the request had the
-    /// mark `began`. One whose crash is counted already, since another instance
-    /// saw it too, tells nothing more.
+    /// Records that a server crashed during an attempt, which started when the
+    /// request had `mark_at_start`. Ignored if this crash is already counted
+    /// because another instance saw it too, or if the request was answered
+    /// recently.
     pub fn crashed(
         &mut self,
         fingerprint: RequestFingerprint,
         organisation: OrganisationTag,
-        began: SuspicionMark,
+        mark_at_start: SuspicionMark,
         server: ServerTag,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        let mut servers = self.crashed_servers(fingerprint, began);
+        let mut servers = self.crashed_servers(fingerprint, mark_at_start);
         if servers.contains(server) || self.was_answered(fingerprint, now) {
             return None;
         }
         servers.add(server);
-        let told = SharedSuspicion {
+        let suspicion = SharedSuspicion {
             fingerprint,
             organisation,
-            mark: began.after_crash(),
+            mark: mark_at_start.after_crash(),
             servers,
             age: ClockSpan::default(),
         };
-        self.take(told, true, now)
+        self.merge(suspicion, true, now)
     }
 
-    /// The request was answered completely: it crashes no servers.
+    /// Records a complete answer, which resets the crashes of the request.
     pub fn answered(
         &mut self,
         fingerprint: RequestFingerprint,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        if self.answers.len() >= self.settings.answers {
+        if self.answers.len() >= self.settings.max_answers {
             self.answers.pop_front();
         }
         self.answers.push_back((now, fingerprint));
         self.acquit(fingerprint, now)
     }
 
-    /// Takes back all evidence against a request.
+    /// Resets the crashes of a request. `None` if it has none.
     pub fn acquit(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -220,146 +225,163 @@
         if entry.mark.crashes == 0 {
             return None;
         }
-        let told = SharedSuspicion {
+        let suspicion = SharedSuspicion {
             fingerprint,
             organisation: entry.organisation,
             mark: entry.mark.after_answer(),
             servers: CrashedServers::default(),
             age: ClockSpan::default(),
         };
-        self.take(told, true, now)
+        self.merge(suspicion, true, now)
     }
 
-    /// Another instance, or an earlier life of this one, told what it believes.
-    /// If the request was answered here lately, that is to be told in turn.
+    /// Merges a suspicion from another instance or from an earlier run of this
+    /// one. If this instance answered the request recently, the crashes are reset
+    /// at once, and the returned change is that reset, to be sent to the others.
+    /// `published` is set for suspicions from this instance's own row.
     pub fn learn(
         &mut self,
-        told: SharedSuspicion,
-        own: bool,
+        suspicion: SharedSuspicion,
+        published: bool,
         now: ClockTime,
     ) -> Option<MarkChange> {
-        let change = self.take(told, own, now)?;
-        if !self.was_answered(told.fingerprint, now) {
+        let change = self.merge(suspicion, published, now)?;
+        if !self.was_answered(suspicion.fingerprint, now) {
             return Some(change);
         }
-        self.acquit(told.fingerprint, now).or(Some(change))
+        self.acquit(suspicion.fingerprint, now).or(Some(change))
     }
 
-    /// What other instances are told of a request, if anything is known of it.
+    /// The suspicion against a request, to be sent to other instances.
     #[must_use]
     pub fn shared(
         &self,
         fingerprint: RequestFingerprint,
         now: ClockTime,
     ) -> Option<SharedSuspicion> {
-        let place = self.find(fingerprint).ok()?;
-        Some(self.entries[place].shared(now))
+        let index = self.find(fingerprint).ok()?;
+        Some(self.entries[index].shared(now))
     }
 
-    /// What this instance saw itself, the most suspected and newest first.
+    /// The entries for this instance's row, in descending order of suspicion
+    /// and newest first among equals.
     #[must_use]
-    pub fn told(&self, now: ClockTime) -> Vec<SharedSuspicion> {
-        let own = self.entries.iter().filter(|entry| entry.own);
-        let mut told: Vec<&SuspicionEntry> = own.collect();
-        told.sort_by_key(|entry| Reverse((weight(entry.mark), entry.at)));
-        told.truncate(self.settings.most_told);
-        told.into_iter().map(|entry| entry.shared(now)).collect()
+    pub fn published_entries(&self, now: ClockTime) -> Vec<SharedSuspicion> {
+        let published = self.entries.iter().filter(|entry| entry.published);
+        let mut published: Vec<&SuspicionEntry> = published.collect();
+        published.sort_by_key(|entry| Reverse((eviction_rank(entry.mark), entry.refreshed_at)));
+        published.truncate(self.settings.max_published);
+        published
+            .into_iter()
+            .map(|entry| entry.shared(now))
+            .collect()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired entries.
     pub fn sweep(&mut self, now: ClockTime) {
-        let lasts = self.settings.lasts;
-        self.entries.retain(|entry| now < entry.at + lasts);
+        let retention = self.settings.retention;
+        self.entries
+            .retain(|entry| now < entry.refreshed_at + retention);
     }
 
-    /// The servers that are held against a request since the answer that `mark`
-    /// counts last.
+    /// The servers counted against a request, if its entry has had no reset
+    /// since `mark`.
     fn crashed_servers(
         &self,
         fingerprint: RequestFingerprint,
         mark: SuspicionMark,
     ) -> CrashedServers {
-        let place = self.find(fingerprint).ok();
-        let entry = place.map(|place| &self.entries[place]);
+        let index = self.find(fingerprint).ok();
+        let entry = index.map(|index| &self.entries[index]);
         let entry = entry.filter(|entry| entry.mark.cleared == mark.cleared);
         entry.map_or(CrashedServers::default(), |entry| entry.servers)
     }
 
     fn was_answered(&self, fingerprint: RequestFingerprint, now: ClockTime) -> bool {
-        let lately = self.answers.iter().rev();
-        let mut lately = lately.take_while(|(at, _)| now.since(*at) < self.settings.answer_tells);
-        lately.any(|(_, held)| *held == fingerprint)
+        let recent = self.answers.iter().rev();
+        let mut recent = recent
+            .take_while(|(answered_at, _)| now.since(*answered_at) < self.settings.answer_span);
+        recent.any(|(_, existing)| *existing == fingerprint)
     }
 
-    fn take(&mut self, told: SharedSuspicion, own: bool, now: ClockTime) -> Option<MarkChange> {
-        if told.age >= self.settings.lasts {
+    fn merge(
+        &mut self,
+        suspicion: SharedSuspicion,
+        published: bool,
+        now: ClockTime,
+    ) -> Option<MarkChange> {
+        if suspicion.age >= self.settings.retention {
             return None;
         }
-        let at = now.as_millis().saturating_sub(told.age.as_millis());
-        let at = ClockTime::from_millis(at);
-        let Ok(place) = self.find(told.fingerprint) else {
+        let refreshed_at = now.as_millis().saturating_sub(suspicion.age.as_millis());
+        let refreshed_at = ClockTime::from_millis(refreshed_at);
+        let Ok(index) = self.find(suspicion.fingerprint) else {
             self.insert(SuspicionEntry {
-                fingerprint: told.fingerprint,
-                organisation: told.organisation,
-                mark: told.mark,
-                servers: told.servers,
-                marked_at: at,
-                at,
-                own,
+                fingerprint: suspicion.fingerprint,
+                organisation: suspicion.organisation,
+                mark: suspicion.mark,
+                servers: suspicion.servers,
+                mark_changed_at: refreshed_at,
+                refreshed_at,
+                published,
             });
             return Some(MarkChange {
-                fingerprint: told.fingerprint,
+                fingerprint: suspicion.fingerprint,
                 before: SuspicionMark::default(),
-                mark: told.mark,
+                mark: suspicion.mark,
             });
         };
-        let entry = &mut self.entries[place];
+        let entry = &mut self.entries[index];
         let before = entry.mark;
-        if told.mark.cleared == before.cleared {
-            entry.servers.add_all(&told.servers);
-        } else if told.mark > before {
-            entry.servers = told.servers;
+        if suspicion.mark.cleared == before.cleared {
+            entry.servers.add_all(&suspicion.servers);
+        } else if suspicion.mark > before {
+            entry.servers = suspicion.servers;
         }
-        if told.mark >= before {
-            entry.own |= own;
+        if suspicion.mark >= before {
+            entry.published |= published;
         }
-        if told.mark <= before {
+        if suspicion.mark <= before {
             return None;
         }
-        entry.mark = told.mark;
-        entry.marked_at = at;
-        entry.at = at;
+        entry.mark = suspicion.mark;
+        entry.mark_changed_at = refreshed_at;
+        entry.refreshed_at = refreshed_at;
         Some(MarkChange {
-            fingerprint: told.fingerprint,
+            fingerprint: suspicion.fingerprint,
             before,
-            mark: told.mark,
+            mark: suspicion.mark,
         })
     }
 
-    /// Makes room where there is none: first among the organisation's own, then
-    /// among all, by the least suspected and oldest.
+    /// Inserts an entry. Evicts another one if the organisation has reached its
+    /// limit, else if the table is full: the lowest rank first, then the oldest.
     fn insert(&mut self, entry: SuspicionEntry) {
-        let same = |held: &SuspicionEntry| held.organisation == entry.organisation;
-        let count = self.entries.iter().filter(|held| same(held)).count();
-        if count >= self.settings.most_each {
+        let same = |existing: &SuspicionEntry| existing.organisation == entry.organisation;
+        let count = self
+            .entries
+            .iter()
+            .filter(|existing| same(existing))
+            .count();
+        if count >= self.settings.max_requests_per_organisation {
             self.evict(same);
-        } else if self.entries.len() >= self.settings.most {
+        } else if self.entries.len() >= self.settings.max_requests {
             self.evict(|_| true);
         }
-        let place = self
+        let index = self
             .entries
-            .partition_point(|held| held.fingerprint < entry.fingerprint);
-        self.entries.insert(place, entry);
+            .partition_point(|existing| existing.fingerprint < entry.fingerprint);
+        self.entries.insert(index, entry);
     }
 
-    fn evict(&mut self, may_go: impl Fn(&SuspicionEntry) -> bool) {
-        let places = (0..self.entries.len()).filter(|place| may_go(&self.entries[*place]));
-        let least = places.min_by_key(|place| {
-            let entry = &self.entries[*place];
-            (weight(entry.mark), entry.at)
+    fn evict(&mut self, evictable: impl Fn(&SuspicionEntry) -> bool) {
+        let indices = (0..self.entries.len()).filter(|index| evictable(&self.entries[*index]));
+        let least = indices.min_by_key(|index| {
+            let entry = &self.entries[*index];
+            (eviction_rank(entry.mark), entry.refreshed_at)
         });
-        if let Some(place) = least {
-            self.entries.remove(place);
+        if let Some(index) = least {
+            self.entries.remove(index);
         }
     }
 
@@ -376,14 +398,14 @@
             organisation: self.organisation,
             mark: self.mark,
             servers: self.servers,
-            age: now.since(self.at),
+            age: now.since(self.refreshed_at),
         }
     }
 }
 
-/// How much a mark is worth keeping. One that clears is worth more than a single
-/// crash: without it an old mark would count again.
-const fn weight(mark: SuspicionMark) -> u8 {
+/// Entries with the lowest rank are evicted first. A reset ranks above a single
+/// crash: without it, an old mark from another instance would count again.
+const fn eviction_rank(mark: SuspicionMark) -> u8 {
     match mark.crashes {
         1 => 0,
         0 => 1,
--- a/crates/guavawell-core/tests/burst.rs
+++ b/crates/guavawell-core/tests/burst.rs
@@ -1,4 +1,5 @@
-//! Bursts: many requests at once into free, full and unknown servers.
+//! Admission of bursts: many requests at once to servers that are free, are full
+//! or send no load reports.
 
 use guavawell_core::backend::BackendSpec;
 use guavawell_core::backend::BackendTable;
@@ -10,7 +11,7 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::limits::Admission;
 use guavawell_core::limits::AdmissionAnswer;
-use guavawell_core::limits::AdmissionAsk;
+use guavawell_core::limits::AdmissionRequest;
 use guavawell_core::limits::AdmissionSettings;
 use guavawell_core::limits::AdmissionTicket;
 use guavawell_core::limits::FairWeight;
@@ -33,7 +34,7 @@
     RouteTarget::Model(served().model)
 }
 
-/// A router, one of `routers`, before two servers.
+/// The backend table of one of `routers` routers, with two servers.
 fn table(routers: u32) -> BackendTable {
     let spec = |name: &str| BackendSpec {
         id: name.parse().expect("backend"),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Admission as a review of `table` leaves it.
+/// Admission control with the slots and the limit of `table`.
 fn reviewed(table: &BackendTable) -> Admission {
     let mut admission = Admission::new(AdmissionSettings::default());
     admission.set_slots(table.slot_share(&target(), NOW));
@@ -71,8 +72,8 @@
     admission
 }
 
-fn ask(ticket: u64, organisation: &str) -> AdmissionAsk {
-    AdmissionAsk {
+fn request(ticket: u64, organisation: &str) -> AdmissionRequest {
+    AdmissionRequest {
         ticket: AdmissionTicket::new(ticket),
         organisation: organisation.parse().expect("organisation"),
         weight: FairWeight::default(),
@@ -83,11 +84,12 @@
     }
 }
 
-/// What becomes of `count` requests at once: run, queued, refused.
+/// Submits `count` requests at once and counts those that run, are queued and are
+/// refused.
 fn burst(admission: &mut Admission, count: u64, organisations: &[&str]) -> [usize; 3] {
     let mut outcome = [0; 3];
     for (ticket, name) in (0..count).zip(organisations.iter().cycle()) {
-        match admission.submit(ask(ticket, name), NOW, &mut Vec::new()) {
+        match admission.submit(request(ticket, name), NOW, &mut Vec::new()) {
             AdmissionAnswer::Run => outcome[0] += 1,
             AdmissionAnswer::Queued => outcome[1] += 1,
             AdmissionAnswer::Refused(_) => outcome[2] += 1,
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn the_routers_parts_of_what_is_free_add_up_to_it() {
+fn the_routers_parts_of_the_free_slots_add_up_to_them() {
     let table = table(6);
     report(&table, 3_496, 4_096, NOW);
     assert_eq!(table.capacity(&target(), NOW), 2 * 600 / 6);
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn a_server_without_reports_is_not_judged_by_a_guess_of_its_slots() {
+fn a_server_without_reports_is_not_limited_by_a_guess_of_its_slots() {
     let mut admission = reviewed(&table(2));
     let organisations = ["a", "b", "c", "d"];
     let [run, queued, refused] = burst(&mut admission, 128, &organisations);
@@ -130,7 +132,7 @@
     assert!(run > 100, "{run} of 128");
 }
 
-/// Admission with this limit, and a queue of one.
+/// Admission control with this limit and a queue of one request.
 fn small_queue(limit: u32) -> Admission {
     Admission::new(AdmissionSettings {
         limit,
@@ -147,39 +149,39 @@
 }
 
 #[test]
-fn a_wait_measured_at_a_low_limit_says_nothing_of_a_higher_one() {
+fn the_expected_wait_follows_a_raised_limit() {
     let mut admission = Admission::new(AdmissionSettings {
         limit: 1,
         ..AdmissionSettings::default()
     });
-    // One at a time, a second each.
+    // One request at a time, each taking one second.
     burst(&mut admission, 2, &["a"]);
     let organisation = "a".parse().expect("id");
     for seconds in 1..=3 {
         let now = later(seconds * 1_000);
         admission.finish(&organisation, now, &mut Vec::new());
-        admission.submit(ask(10 + seconds, "a"), now, &mut Vec::new());
+        admission.submit(request(10 + seconds, "a"), now, &mut Vec::new());
     }
     let now = later(3_000);
     admission.set_limit(100, now, &mut Vec::new());
     for ticket in 100..250 {
-        let answer = admission.submit(ask(ticket, "a"), now, &mut Vec::new());
+        let answer = admission.submit(request(ticket, "a"), now, &mut Vec::new());
         assert!(!matches!(answer, AdmissionAnswer::Refused(_)), "{ticket}");
     }
-    // Those that wait, at a hundred a second.
+    // The waiting requests, at a hundred per second.
     let expected = admission.view().waiting as u64 * 10;
-    let wait = admission.expected_wait(&ask(250, "a"), now).as_millis();
+    let wait = admission.expected_wait(&request(250, "a"), now).as_millis();
     assert!((expected..=expected + 20).contains(&wait), "{wait}");
 }
 
 #[test]
-fn ends_in_clumps_are_no_silence() {
+fn requests_that_end_together_do_not_lengthen_the_expected_wait() {
     let mut admission = small_queue(64);
     burst(&mut admission, 128, &["a"]);
     let organisation = "a".parse().expect("id");
     let mut effects = Vec::new();
     (0..32).for_each(|_| admission.finish(&organisation, later(1_000), &mut effects));
-    let wait = admission.expected_wait(&ask(200, "a"), later(1_100));
+    let wait = admission.expected_wait(&request(200, "a"), later(1_100));
     assert!(wait.as_millis() <= 1_000, "{wait}");
 }
 
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -111,7 +111,7 @@
         progress.outcome.note(end);
         note_attempt(router, call, &pick, end);
         failure = response.or(failure);
-        let may_retry = may_repeat(router, call, &progress, end);
+        let may_retry = may_retry(router, call, &progress, end);
         let refusal = match next_step(call.route.repeat, end, may_retry) {
             NextStep::Again => continue,
             NextStep::Relay => ForwardRefusal::AnswerLost,
@@ -200,7 +200,7 @@
 }
 
 /// Whether the limits on attempts, time and retries allow another attempt.
-fn may_repeat(
+fn may_retry(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
@@ -217,7 +217,7 @@
         return false;
     }
     progress.sent < call.route.attempts
-        && router.poison.may_repeat(call.fingerprint)
+        && router.poison.may_retry(call.fingerprint)
         && router.take_repeat(&call.service)
 }
 
