--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -16,7 +16,7 @@
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
-use super::BudgetDesk;
+use super::BudgetManager;
 use crate::clock::timer_span;
 use crate::http::ChannelError;
 use crate::peer::PeerError;
@@ -25,29 +25,29 @@
 
 /// Longest wait for an instance's answer: some milliseconds on the way and, at
 /// a tenth of a core, some tens in its queue.
-const ASK_LIMIT: Duration = Duration::from_millis(150);
+const LOAN_TIMEOUT: Duration = Duration::from_millis(150);
 /// Instances that a holder asks for one request.
 const MAX_LENDERS: usize = 4;
 /// Of these, instances that unlock tokens early in a cut.
-const EARLY_LENDERS: usize = 2;
+const MAX_EARLY_LENDERS: usize = 2;
 /// Holders that an instance without tokens asks for one request: near a
 /// budget's end what it needs may lie in any zone.
 const MAX_HOLDERS: usize = 8;
 /// Pause between looks at what is to be accounted for.
-const RETURN_TICK: Duration = Duration::from_millis(150);
+const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How a question to the holders ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ShareEnd {
+pub(super) enum ShareOutcome {
     /// The request can be reserved now.
     Lent,
     /// The holders that were reached had too little.
     Declined(ReserveAnswer),
     /// No holder answered.
-    Unreached,
+    Unreachable,
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Borrows what a holder's request of `tokens` lacks; whether it can be
     /// reserved now. A question that brings no answer may have cost its lender
     /// tokens, and is not sent again.
@@ -62,7 +62,7 @@
         for (instance, address) in self.choose_lenders(organisation, ask) {
             let ask = self.loan_ask(organisation, tokens);
             let Some(answer) = self
-                .ask_peer(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, ask, end)
                 .await
             else {
                 continue;
@@ -79,12 +79,12 @@
     /// Borrows the tokens of one request from the organisation's holders: the
     /// one of the own zone, the next in rank where it does not answer, those of
     /// other zones where it has too little.
-    pub(super) async fn borrow_share(
+    pub(super) async fn borrow_as_non_holder(
         &self,
         organisation: &OrganisationId,
         tokens: u64,
         limit: ClockSpan,
-    ) -> ShareEnd {
+    ) -> ShareOutcome {
         let end = self.clock.now() + limit;
         let order = self.book.borrow().holder_order(organisation);
         let mut holders: Vec<(InstanceId, SocketAddr)> = order
@@ -99,13 +99,13 @@
             let (instance, address) = holders.remove(0);
             let ask = self.loan_ask(organisation, tokens);
             let answer = self
-                .ask_peer(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, ask, end)
                 .await;
             match answer {
-                Some(answer) if answer.tokens >= ask.needed => return ShareEnd::Lent,
+                Some(answer) if answer.tokens >= ask.needed => return ShareOutcome::Lent,
                 Some(answer) => {
                     if answer.cause.is_used_up() {
-                        return ShareEnd::Declined(answer.cause);
+                        return ShareOutcome::Declined(answer.cause);
                     }
                     declined = Some(answer.cause);
                     // The next in rank of this zone would ask the same row.
@@ -115,7 +115,7 @@
                 None => {}
             }
         }
-        declined.map_or(ShareEnd::Unreached, ShareEnd::Declined)
+        declined.map_or(ShareOutcome::Unreachable, ShareOutcome::Declined)
     }
 
     fn loan_ask(&self, organisation: &OrganisationId, tokens: u64) -> LoanAsk {
@@ -124,7 +124,7 @@
     }
 
     /// Asks one instance and takes in what it lends; `None` without an answer.
-    async fn ask_peer(
+    async fn request_loan(
         &self,
         organisation: &OrganisationId,
         instance: &InstanceId,
@@ -137,17 +137,17 @@
             return None;
         }
         let question = PeerQuestion::Loan(organisation.clone(), ask);
-        let limit = ASK_LIMIT.min(rest);
+        let limit = LOAN_TIMEOUT.min(rest);
         let answered = self.peers.ask(address, &question, limit);
         let result = answered.await.map(|answer| read_answer(&answer.head));
         let (answer, nonce) = match result {
             Ok(Some(answer)) => answer,
             Ok(None) => {
-                self.note_unreached(instance, &"an answer that cannot be read");
+                self.record_unreachable(instance, &"an answer that cannot be read");
                 return None;
             }
             Err(error) => {
-                self.note_unreached(instance, &error);
+                self.record_unreachable(instance, &error);
                 return None;
             }
         };
@@ -161,12 +161,12 @@
             let mut book = self.book.borrow_mut();
             book.take_loan(organisation, lender, answer.tokens, now);
             drop(book);
-            self.note_loan("budget.borrowed", organisation, instance, ask, answer);
+            self.record_loan("budget.borrowed", organisation, instance, ask, answer);
         }
         Some(answer)
     }
 
-    fn note_unreached(&self, instance: &InstanceId, cause: &dyn std::fmt::Display) {
+    fn record_unreachable(&self, instance: &InstanceId, cause: &dyn std::fmt::Display) {
         let draft = EventDraft::new("budget.lender_unreached")
             .field("other", instance)
             .field("cause", cause);
@@ -199,7 +199,7 @@
         let mut chosen: Vec<(InstanceId, SocketAddr)> = early
             .into_iter()
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
-            .take(EARLY_LENDERS)
+            .take(MAX_EARLY_LENDERS)
             .collect();
         able.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
         while chosen.len() < MAX_LENDERS && !able.is_empty() {
@@ -214,13 +214,13 @@
             chosen.push((instance, address));
         }
         if self.is_cut_off() {
-            self.add_fetchers(&mut chosen);
+            self.add_random_peers(&mut chosen);
         }
         chosen
     }
 
     /// Fills up with any other instances.
-    fn add_fetchers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
+    fn add_random_peers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
         let mut others = self.peers.addresses();
         others.retain(|(instance, _)| chosen.iter().all(|(held, _)| held != instance));
         fastrand::shuffle(&mut others);
@@ -229,33 +229,33 @@
     }
 
     /// Accounts to lenders for as long as the process lives.
-    pub(super) async fn keep_accounts(self: Rc<Self>) {
+    pub(super) async fn send_due_returns(self: Rc<Self>) {
         loop {
-            Timer::after(RETURN_TICK).await;
+            Timer::after(RETURN_CHECK_INTERVAL).await;
             let due = self.book.borrow_mut().due_returns(self.clock.now());
-            for account in due {
-                if let Err(error) = self.send_account(&account).await {
-                    self.note_lost_account(&account, &error);
+            for loan_return in due {
+                if let Err(error) = self.send_return(&loan_return).await {
+                    self.log_lost_return(&loan_return, &error);
                 }
             }
         }
     }
 
     /// Sends an account once: told twice, it would give tokens back twice.
-    async fn send_account(&self, account: &LoanReturn) -> Result<(), PeerError> {
-        let address = self.peers.address_of(&account.lender.instance);
+    async fn send_return(&self, loan_return: &LoanReturn) -> Result<(), PeerError> {
+        let address = self.peers.address_of(&loan_return.lender.instance);
         let address = address.ok_or(ChannelError::Closed)?;
-        let question = PeerQuestion::Return(account.clone());
-        self.peers.ask(address, &question, ASK_LIMIT).await?;
+        let question = PeerQuestion::Return(loan_return.clone());
+        self.peers.ask(address, &question, LOAN_TIMEOUT).await?;
         Ok(())
     }
 
-    fn note_lost_account(&self, account: &LoanReturn, error: &PeerError) {
+    fn log_lost_return(&self, loan_return: &LoanReturn, error: &PeerError) {
         let draft = EventDraft::new("budget.return_lost")
-            .organisation(&account.organisation)
-            .field("other", &account.lender.instance)
-            .field("unspent", account.unspent)
-            .field("spent", account.spent)
+            .organisation(&loan_return.organisation)
+            .field("other", &loan_return.lender.instance)
+            .field("unspent", loan_return.unspent)
+            .field("spent", loan_return.spent)
             .field("fault", error);
         self.log.emit(draft);
     }
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 
 use super::BUDGET_TABLE;
-use super::BudgetDesk;
+use super::BudgetManager;
 use super::LINE_TABLE;
 use super::ROW_KEY;
 use crate::store::RowKey;
@@ -19,10 +19,10 @@
 use crate::store::WriteAnswer;
 
 /// Answers over which their usual time is averaged.
-const ANSWER_PARTS: u64 = 8;
+const LATENCY_WINDOW: u64 = 8;
 
 /// Pause between log lines about calls that the store turned down for its rate.
-const LIMITED_PAUSE: ClockSpan = ClockSpan::from_millis(1_000);
+const RATE_LIMIT_LOG_INTERVAL: ClockSpan = ClockSpan::from_millis(1_000);
 
 /// A row's value.
 pub(super) enum DecodedRow<T> {
@@ -32,7 +32,7 @@
     Unreadable,
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     pub(super) fn line_key(&self) -> RowKey {
         RowKey {
             table: LINE_TABLE,
@@ -43,16 +43,17 @@
 
     /// Reads a row and takes note of how the store does.
     pub(super) async fn read_row(&self, what: &str, key: RowKey) -> Option<RowState> {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let answer = (self.store.read)(key).await;
         match answer {
             Ok(state) => {
-                self.note_answer(what, state.time, began);
-                self.newest.set(self.newest.get().max(state.newest));
+                self.record_answer(what, state.time, started);
+                self.newest_version
+                    .set(self.newest_version.get().max(state.newest));
                 Some(state)
             }
             Err(fault) => {
-                self.note_fault(what, &fault);
+                self.record_fault(what, &fault);
                 None
             }
         }
@@ -66,29 +67,31 @@
         version: u64,
         bytes: Vec<u8>,
     ) -> Result<WriteAnswer, StoreFault> {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let answer = (self.store.write)(key, version, bytes).await;
         match &answer {
             Ok(WriteAnswer::Done(version, time)) => {
-                self.newest.set(self.newest.get().max(*version));
-                self.note_answer(what, *time, began);
+                self.newest_version
+                    .set(self.newest_version.get().max(*version));
+                self.record_answer(what, *time, started);
             }
-            Ok(WriteAnswer::Changed(state)) => self.note_answer(what, state.time, began),
-            Err(fault) => self.note_fault(what, fault),
+            Ok(WriteAnswer::Changed(state)) => self.record_answer(what, state.time, started),
+            Err(fault) => self.record_fault(what, fault),
         }
         answer
     }
 
-    fn note_answer(&self, what: &str, time: Option<ClockTime>, began: ClockTime) {
+    fn record_answer(&self, what: &str, time: Option<ClockTime>, started: ClockTime) {
         let now = self.clock.now();
-        let took = now.since(began).as_millis();
-        let usual = (self.answer_ms.get() * (ANSWER_PARTS - 1) + took).div_ceil(ANSWER_PARTS);
-        self.answer_ms.set(usual);
+        let took = now.since(started).as_millis();
+        let usual =
+            (self.mean_latency_ms.get() * (LATENCY_WINDOW - 1) + took).div_ceil(LATENCY_WINDOW);
+        self.mean_latency_ms.set(usual);
         let mut book = self.book.borrow_mut();
         book.tell_answer(ClockSpan::from_millis(usual));
         drop(book);
         if let Some(time) = time {
-            self.book.borrow_mut().tell_time(time, began, now);
+            self.book.borrow_mut().tell_time(time, started, now);
         }
         if let Some(since) = self.failing_since.take() {
             let draft = EventDraft::new("store.regained")
@@ -98,9 +101,9 @@
         }
     }
 
-    pub(super) fn note_fault(&self, what: &str, fault: &StoreFault) {
+    pub(super) fn record_fault(&self, what: &str, fault: &StoreFault) {
         if *fault == StoreFault::Limited {
-            self.note_limited(what);
+            self.record_rate_limit(what);
             return;
         }
         metrics::counter!("guavawell_forward_store_faults_total").increment(1);
@@ -115,16 +118,16 @@
 
     /// The store answers, and turned a call down for its rate. Logged once in a
     /// while with the number of calls since.
-    fn note_limited(&self, what: &str) {
+    fn record_rate_limit(&self, what: &str) {
         metrics::counter!("guavawell_forward_store_limited_total").increment(1);
         let now = self.clock.now();
-        let (count, told) = self.limited.get();
+        let (count, told) = self.rate_limited.get();
         let count = count + 1;
-        if told.is_some_and(|told| now.since(told) < LIMITED_PAUSE) {
-            self.limited.set((count, told));
+        if told.is_some_and(|told| now.since(told) < RATE_LIMIT_LOG_INTERVAL) {
+            self.rate_limited.set((count, told));
             return;
         }
-        self.limited.set((0, Some(now)));
+        self.rate_limited.set((0, Some(now)));
         let draft = EventDraft::new("store.limited")
             .field("call", what)
             .field("calls", count);
--- a/crates/guavawell-forward/src/budget/fleet_key.rs
+++ b/crates/guavawell-forward/src/budget/fleet_key.rs
@@ -8,10 +8,10 @@
 use guavawell_core::grant::decode_row;
 use smol::Timer;
 
-use super::BudgetDesk;
+use super::BudgetManager;
 use super::ROW_KEY;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use crate::peer::FleetKey;
 use crate::store::RowKey;
 use crate::store::RowState;
@@ -22,15 +22,15 @@
 /// The part of [`KEY_TABLE`].
 const KEY_PART: &str = "";
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Reads the fleet's key, or writes the first one, however long it takes.
-    pub(super) async fn learn_key(&self) {
+    pub(super) async fn load_key(&self) {
         loop {
             if let Some(key) = self.read_or_write_key().await {
                 self.peers.set_key(key);
                 return;
             }
-            Timer::after(fault_pause()).await;
+            Timer::after(retry_delay()).await;
         }
     }
 
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -13,8 +13,8 @@
 use smol::Async;
 use smol::LocalExecutor;
 
-use super::BudgetDesk;
-use super::reserve::WaitingRequest;
+use super::BudgetManager;
+use super::reserve::DemandGuard;
 use super::wait_until;
 use crate::accept::accept_all;
 use crate::clock::timer_span;
@@ -30,22 +30,22 @@
 /// How long a lender waits for the store: two of its answers and a write of the
 /// same row that is on its way. Less than an asker waits by what the answer
 /// takes, or its tokens would be lost.
-const LEND_PATIENCE: ClockSpan = ClockSpan::from_millis(100);
+const MAX_LEND_WAIT: ClockSpan = ClockSpan::from_millis(100);
 /// Longest time that a connection stays open without a question.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Answers other instances for as long as the process lives.
-    pub async fn answer_peers(
+    pub async fn serve_peers(
         self: Rc<Self>,
         listener: Async<TcpListener>,
         executor: Rc<LocalExecutor<'static>>,
     ) {
         let serve = |channel: HttpChannel| {
-            let desk = Rc::clone(&self);
+            let manager = Rc::clone(&self);
             executor
                 .spawn(async move {
-                    if let Err(error) = desk.answer_peer(channel).await {
+                    if let Err(error) = manager.serve_peer(channel).await {
                         log::debug!("another instance's questions ended: {error}");
                     }
                 })
@@ -54,17 +54,17 @@
         accept_all("instance", &listener, serve).await;
     }
 
-    async fn answer_peer(self: &Rc<Self>, mut channel: HttpChannel) -> Result<(), ChannelError> {
+    async fn serve_peer(self: &Rc<Self>, mut channel: HttpChannel) -> Result<(), ChannelError> {
         loop {
-            let asked = within(IDLE_LIMIT, ReceivedQuestion::read(&mut channel)).await?;
+            let asked = within(IDLE_TIMEOUT, ReceivedQuestion::read(&mut channel)).await?;
             let Some(key) = self.peers.key() else {
                 // A process that has just started may be asked before it has
                 // read the key.
-                return self.refuse(&channel, 503, "Service Unavailable").await;
+                return self.reject(&channel, 503, "Service Unavailable").await;
             };
             let Some(nonce) = asked.proved_nonce(key) else {
                 metrics::counter!("guavawell_forward_strangers_total").increment(1);
-                return self.refuse(&channel, 403, "Forbidden").await;
+                return self.reject(&channel, 403, "Forbidden").await;
             };
             let head = &asked.head;
             self.peers.hear_version(head.fields.get(VERSION_FIELD));
@@ -78,13 +78,13 @@
             match question {
                 Some(PeerQuestion::Loan(organisation, ask)) => {
                     if !channel.is_quiet() {
-                        return self.decline_left(&organisation, &head.host, ask);
+                        return self.decline_departed(&organisation, &head.host, ask);
                     }
                     let answer = self.lend(&organisation, ask).await;
-                    self.note_loan("budget.lent", &organisation, &head.host, ask, answer);
+                    self.record_loan("budget.lent", &organisation, &head.host, ask, answer);
                     write_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
                 }
-                Some(PeerQuestion::Return(account)) => self.take_return(&account),
+                Some(PeerQuestion::Return(loan_return)) => self.apply_return(&loan_return),
                 Some(PeerQuestion::Suspects(list)) => self.poison.learn(&list, &"another"),
                 Some(PeerQuestion::Config(known)) => {
                     body = self.peers.tell_config(known, &mut writer);
@@ -98,7 +98,7 @@
 
     /// Lends nothing to an instance that has left: it waits for an answer less
     /// long than this process was paused, and what it is lent stays spent.
-    fn decline_left(
+    fn decline_departed(
         &self,
         organisation: &OrganisationId,
         other: &dyn std::fmt::Display,
@@ -115,7 +115,7 @@
     }
 
     /// Turns a question away and ends the connection.
-    async fn refuse(
+    async fn reject(
         &self,
         channel: &HttpChannel,
         status: u16,
@@ -128,16 +128,16 @@
         Ok(())
     }
 
-    fn take_return(&self, account: &LoanReturn) {
-        if self.book.borrow_mut().take_return(account) {
-            if account.unspent > 0 {
+    fn apply_return(&self, loan_return: &LoanReturn) {
+        if self.book.borrow_mut().take_return(loan_return) {
+            if loan_return.unspent > 0 {
                 self.changed.notify(usize::MAX);
             }
         } else {
             let draft = EventDraft::new("budget.return_unknown")
-                .organisation(&account.organisation)
-                .field("unspent", account.unspent)
-                .field("spent", account.spent);
+                .organisation(&loan_return.organisation)
+                .field("unspent", loan_return.unspent)
+                .field("spent", loan_return.spent);
             self.log.emit(draft);
         }
     }
@@ -156,9 +156,9 @@
         let now = self.clock.now();
         let later = self.book.borrow().lend_later(organisation, ask, now);
         if let (Some(missing), false) = (later, self.is_cut_off()) {
-            let _waiting = WaitingRequest::new(self, organisation, missing);
-            self.ring();
-            let end = now + LEND_PATIENCE;
+            let _waiting = DemandGuard::new(self, organisation, missing);
+            self.wake_writers();
+            let end = now + MAX_LEND_WAIT;
             loop {
                 let changed = self.changed.listen();
                 let answer = lend_whole();
@@ -176,7 +176,7 @@
         self.book.borrow_mut().lend(organisation, ask, now)
     }
 
-    pub(super) fn note_loan(
+    pub(super) fn record_loan(
         &self,
         kind: &str,
         organisation: &OrganisationId,
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -4,32 +4,32 @@
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
-use super::BudgetDesk;
-use super::LINE_TICK;
+use super::BudgetManager;
+use super::LINE_CHECK_INTERVAL;
 use super::calls::DecodedRow;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use super::wait_until;
 use crate::store::RowState;
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Begins this boot in the instance's row, however long it takes.
-    pub(super) async fn open_lines(&self) {
+    pub(super) async fn start_boot(&self) {
         loop {
-            if self.begin_boot().await {
+            if self.try_start_boot().await {
                 let boot = self.book.borrow().boot();
                 let draft = EventDraft::new("budget.boot").field("boot", boot);
                 self.log.emit(draft);
                 return;
             }
-            Timer::after(fault_pause()).await;
+            Timer::after(retry_delay()).await;
         }
     }
 
     /// One try to begin this boot; true once the store has confirmed it.
-    pub(super) async fn begin_boot(&self) -> bool {
+    pub(super) async fn try_start_boot(&self) -> bool {
         if !self.read_lines().await {
             return false;
         }
@@ -39,12 +39,12 @@
         let Some(row) = self.book.borrow().first_lines(self.clock.now()) else {
             return false;
         };
-        self.note_closed();
-        self.put_lines(row).await && self.book.borrow().boot() > 0
+        self.log_previous_boot();
+        self.store_lines(row).await && self.book.borrow().boot() > 0
     }
 
     /// Logs what the boot before may have spent at most beyond its last word.
-    fn note_closed(&self) {
+    fn log_previous_boot(&self) {
         let book = self.book.borrow();
         let Some((before, ended)) = book.former_lines() else {
             return;
@@ -63,37 +63,37 @@
     }
 
     /// Keeps the lines up to date.
-    pub(super) async fn write_lines(&self) {
+    pub(super) async fn maintain_lines(&self) {
         loop {
-            let bell = self.line_bell.listen();
-            let done = self.write_lines_once().await;
+            let wakeup = self.line_wakeup.listen();
+            let done = self.write_due_lines().await;
             if done {
-                wait_until(bell, LINE_TICK).await;
+                wait_until(wakeup, LINE_CHECK_INTERVAL).await;
             } else {
-                Timer::after(fault_pause()).await;
+                Timer::after(retry_delay()).await;
             }
         }
     }
 
     /// Writes the lines if they want writing; false if the store failed.
-    pub(super) async fn write_lines_once(&self) -> bool {
+    pub(super) async fn write_due_lines(&self) -> bool {
         if self.book.borrow().lines_unsure() && !self.read_lines().await {
             return false;
         }
         let Some(row) = self.book.borrow().next_lines(self.clock.now()) else {
             return true;
         };
-        self.put_lines(row).await
+        self.store_lines(row).await
     }
 
     pub(super) async fn read_lines(&self) -> bool {
         let Some(state) = self.read_row("lines", self.line_key()).await else {
             return false;
         };
-        self.take_lines(&state)
+        self.apply_lines(&state)
     }
 
-    pub(super) fn take_lines(&self, state: &RowState) -> bool {
+    pub(super) fn apply_lines(&self, state: &RowState) -> bool {
         let DecodedRow::Readable(row) = self.decode::<LineRow>(&self.line_key(), state) else {
             return false;
         };
@@ -105,7 +105,7 @@
         own
     }
 
-    pub(super) async fn put_lines(&self, row: LineRow) -> bool {
+    pub(super) async fn store_lines(&self, row: LineRow) -> bool {
         let Some(bytes) = encode(&row) else {
             return false;
         };
@@ -123,7 +123,7 @@
             }
             Ok(WriteAnswer::Changed(state)) => {
                 self.book.borrow_mut().dropped_lines();
-                self.take_lines(&state)
+                self.apply_lines(&state)
             }
             Err(StoreFault::NotDone(_) | StoreFault::Limited | StoreFault::HistoryGone) => {
                 self.book.borrow_mut().dropped_lines();
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -49,32 +49,32 @@
 /// Key of the one row in each part of the other tables.
 const ROW_KEY: &str = "row";
 /// Pause between looks at whether a row wants writing.
-const LINE_TICK: Duration = Duration::from_millis(100);
+const LINE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between looks at whether a budget's row wants writing or reading.
-const BUDGET_TICK: Duration = Duration::from_millis(500);
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause between questions for other instances' writes.
-const FOLLOW_PAUSE: ClockSpan = ClockSpan::from_millis(500);
+const POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(500);
 /// The same while an instance lacks tokens that another one may give back, so
 /// that they move while the request waits.
-const CONTENDED_PAUSE: ClockSpan = ClockSpan::from_millis(120);
+const CONTENDED_POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(120);
 /// Further pause for each writer of a row, so that reading what all others
 /// write takes a bounded part of the processor.
-const FOLLOW_EACH: ClockSpan = ClockSpan::from_millis(15);
-/// See [`FOLLOW_EACH`].
-const CONTENDED_EACH: ClockSpan = ClockSpan::from_millis(15);
+const POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
+/// See [`POLL_INTERVAL_PER_WRITER`].
+const CONTENDED_POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
 /// Time from the start to the second look at the fleet's instances.
-const FIRST_LOOK: Duration = Duration::from_millis(400);
+const FIRST_PEER_REFRESH_DELAY: Duration = Duration::from_millis(400);
 /// Pause between looks at the fleet's instances.
-const LOOK_PAUSE: Duration = Duration::from_secs(5);
+const PEER_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 /// Spread of the first writes of a row for each of its writers: all of them
 /// start at one moment and would turn each other's writes down.
-const START_SPREAD_EACH: Duration = Duration::from_millis(8);
+const START_JITTER_PER_WRITER: Duration = Duration::from_millis(8);
 /// Pause after a failed call to the store.
-const FAULT_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The budgets of this process.
 #[derive(Debug)]
-pub struct BudgetDesk {
+pub struct BudgetManager {
     clock: SteadyClock,
     log: EventLog,
     store: RowStore,
@@ -89,22 +89,22 @@
     /// Something in the book changed for the better.
     changed: Event,
     /// The lines want writing.
-    line_bell: Event,
+    line_wakeup: Event,
     /// Budgets' rows want writing.
-    budget_bell: Event,
+    budget_wakeup: Event,
     /// Usual time of the store's answers, in milliseconds.
-    answer_ms: Cell<u64>,
+    mean_latency_ms: Cell<u64>,
     /// The newest version that the store has told.
-    newest: Cell<u64>,
+    newest_version: Cell<u64>,
     /// When the store began to fail, if it does.
     failing_since: Cell<Option<ClockTime>>,
     /// Calls that the store turned down for its rate since the last log line
     /// about them, and when that was.
-    limited: Cell<(u64, Option<ClockTime>)>,
+    rate_limited: Cell<(u64, Option<ClockTime>)>,
 }
 
-impl BudgetDesk {
-    /// A desk that knows nothing yet.
+impl BudgetManager {
+    /// A manager that knows nothing yet.
     #[must_use]
     pub fn new(
         member: FleetMember,
@@ -131,12 +131,12 @@
             peers,
             poison,
             changed: Event::new(),
-            line_bell: Event::new(),
-            budget_bell: Event::new(),
-            answer_ms: Cell::new(20),
-            newest: Cell::new(0),
+            line_wakeup: Event::new(),
+            budget_wakeup: Event::new(),
+            mean_latency_ms: Cell::new(20),
+            newest_version: Cell::new(0),
             failing_since: Cell::new(None),
-            limited: Cell::default(),
+            rate_limited: Cell::default(),
         }
     }
 
@@ -150,7 +150,7 @@
     pub fn set_paid(&self, organisation: &OrganisationId, paid: u64, version: u64) {
         let mut book = self.book.borrow_mut();
         book.set_paid(organisation, paid, version);
-        self.budget_bell.notify(usize::MAX);
+        self.budget_wakeup.notify(usize::MAX);
     }
 
     /// Whether every budget was read once.
@@ -167,41 +167,45 @@
 
     /// Starts the tasks that write rows and talk to other instances.
     pub fn start(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
-        let desk = Rc::clone(self);
-        let spawner = Rc::clone(executor);
-        let begin = async move {
+        let manager = Rc::clone(self);
+        let task_executor = Rc::clone(executor);
+        let startup = async move {
             // Who holds what is known first, so that a fleet that starts as a
             // whole does not write a hundred entries into each row.
-            desk.learn_key().await;
-            desk.announce().await;
-            while !desk.read_peers().await {
-                Timer::after(fault_pause()).await;
+            manager.load_key().await;
+            manager.register().await;
+            while !manager.read_peers().await {
+                Timer::after(retry_delay()).await;
             }
-            desk.open_lines().await;
-            spawner.spawn(Rc::clone(&desk).keep_peers()).detach();
-            spawner.spawn(Rc::clone(&desk).keep_accounts()).detach();
-            let teller = Rc::clone(&desk);
-            let spawner_of_calls = Rc::clone(&spawner);
-            spawner
-                .spawn(async move { teller.tell_suspects(&spawner_of_calls).await })
+            manager.start_boot().await;
+            task_executor
+                .spawn(Rc::clone(&manager).maintain_peers())
                 .detach();
-            let budgets = Rc::clone(&desk);
-            let spawner_of_rows = Rc::clone(&spawner);
-            spawner
-                .spawn(async move { budgets.watch_budgets(&spawner_of_rows).await })
+            task_executor
+                .spawn(Rc::clone(&manager).send_due_returns())
                 .detach();
-            let follower = Rc::clone(&desk);
-            spawner
-                .spawn(async move { follower.follow_budgets().await })
+            let suspect_manager = Rc::clone(&manager);
+            let suspect_executor = Rc::clone(&task_executor);
+            task_executor
+                .spawn(async move { suspect_manager.broadcast_suspects(&suspect_executor).await })
                 .detach();
-            desk.write_lines().await;
+            let budget_manager = Rc::clone(&manager);
+            let budget_executor = Rc::clone(&task_executor);
+            task_executor
+                .spawn(async move { budget_manager.spawn_budget_tasks(&budget_executor).await })
+                .detach();
+            let change_manager = Rc::clone(&manager);
+            task_executor
+                .spawn(async move { change_manager.poll_changes().await })
+                .detach();
+            manager.maintain_lines().await;
         };
-        executor.spawn(begin).detach();
+        executor.spawn(startup).detach();
     }
 }
 
 /// A pause after a failure, spread so that instances do not come back at one
 /// moment.
-fn fault_pause() -> Duration {
-    FAULT_PAUSE + FAULT_PAUSE.mul_f64(fastrand::f64())
+fn retry_delay() -> Duration {
+    RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())
 }
--- a/crates/guavawell-forward/src/budget/peers.rs
+++ b/crates/guavawell-forward/src/budget/peers.rs
@@ -12,13 +12,13 @@
 use serde::Serialize;
 use smol::Timer;
 
-use super::BudgetDesk;
-use super::FIRST_LOOK;
-use super::LOOK_PAUSE;
+use super::BudgetManager;
+use super::FIRST_PEER_REFRESH_DELAY;
 use super::PEER_PART;
+use super::PEER_REFRESH_INTERVAL;
 use super::PEER_TABLE;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use crate::peer::PeerSeat;
 use crate::store::KeyedRows;
 use crate::store::RowKey;
@@ -33,25 +33,25 @@
     pub(super) zone: ZoneId,
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Looks at the fleet for as long as the process lives.
-    pub(super) async fn keep_peers(self: Rc<Self>) {
+    pub(super) async fn maintain_peers(self: Rc<Self>) {
         // A fleet that starts as a whole is complete after a moment.
-        Timer::after(FIRST_LOOK).await;
+        Timer::after(FIRST_PEER_REFRESH_DELAY).await;
         loop {
             self.read_peers().await;
-            Timer::after(LOOK_PAUSE).await;
+            Timer::after(PEER_REFRESH_INTERVAL).await;
         }
     }
 
     /// Writes the own row, however long it takes.
-    pub(super) async fn announce(&self) {
+    pub(super) async fn register(&self) {
         self.write_own_row(self.peers.own_address()).await;
     }
 
     /// Tells the others that this process leaves: it is not to be asked for
     /// tokens any more.
-    pub async fn announce_leaving(&self) {
+    pub async fn deregister(&self) {
         self.write_own_row(None).await;
     }
 
@@ -75,7 +75,7 @@
                     version = state.version;
                 }
                 Err(_) => {
-                    Timer::after(fault_pause()).await;
+                    Timer::after(retry_delay()).await;
                 }
             }
         }
@@ -94,17 +94,17 @@
         match (self.store.table)(PEER_TABLE).await {
             Ok(rows) => {
                 self.book.borrow_mut().set_instances(rows.len());
-                self.take_peers(&rows);
+                self.apply_peers(&rows);
                 true
             }
             Err(fault) => {
-                self.note_fault("peers", &fault);
+                self.record_fault("peers", &fault);
                 false
             }
         }
     }
 
-    fn take_peers(&self, rows: &KeyedRows) {
+    fn apply_peers(&self, rows: &KeyedRows) {
         let mut seats = Vec::with_capacity(rows.len());
         for (key, state) in rows {
             let value = state.value.as_deref().unwrap_or_default();
@@ -127,6 +127,6 @@
         });
         self.peers.set_seats(seats);
         self.book.borrow_mut().set_fleet(fleet);
-        self.budget_bell.notify(usize::MAX);
+        self.budget_wakeup.notify(usize::MAX);
     }
 }
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -10,37 +10,37 @@
 use guavawell_core::id::OrganisationId;
 use guavawell_core::id::TokenCount;
 
-use super::BudgetDesk;
-use super::borrow::ShareEnd;
+use super::BudgetManager;
+use super::borrow::ShareOutcome;
 use super::wait_until;
 use crate::clock::timer_span;
 use crate::refuse::RefusalAnswer;
 
 /// Least and most time that a request waits for the store's answer.
-const LEAST_PATIENCE_MS: u64 = 150;
-/// See [`LEAST_PATIENCE_MS`].
-const MOST_PATIENCE_MS: u64 = 900;
+const MIN_STORE_WAIT_MS: u64 = 150;
+/// See [`MIN_STORE_WAIT_MS`].
+const MAX_STORE_WAIT_MS: u64 = 900;
 /// Answers of the store that a waiting request is given, as a multiple of
 /// their usual time: one for the grant, one for the line, one for a conflict.
-const PATIENCE_ANSWERS: u64 = 4;
+const STORE_WAIT_LATENCIES: u64 = 4;
 /// Longest lock that a request sits out at an instance that is cut off: about
 /// half of what callers expect until the first token.
-const LOCK_PATIENCE: ClockSpan = ClockSpan::from_millis(250);
+const MAX_LOCK_WAIT: ClockSpan = ClockSpan::from_millis(250);
 /// How long a request waits for tokens that another instance holds: one
 /// question of that instance and three answers of the store.
-const SHARE_PATIENCE: ClockSpan = ClockSpan::from_millis(350);
+const PEER_TOKEN_WAIT: ClockSpan = ClockSpan::from_millis(350);
 /// Pause between looks at whether they came.
-const SHARE_STEP: ClockSpan = ClockSpan::from_millis(50);
+const RECHECK_INTERVAL: ClockSpan = ClockSpan::from_millis(50);
 /// How long a request waits for other instances' loans at most: two that do not
 /// answer and one that does.
-const BORROW_PATIENCE: ClockSpan = ClockSpan::from_millis(400);
+const MAX_BORROW_TIME: ClockSpan = ClockSpan::from_millis(400);
 /// Retry-After where nothing tells when tokens will be there: about the time
 /// in which an instance brings its grants up to date.
-const RETRY_UNKNOWN: ClockSpan = ClockSpan::from_millis(700);
+const DEFAULT_RETRY_AFTER: ClockSpan = ClockSpan::from_millis(700);
 /// Retry-After at most, since a top-up may come at any time.
-const RETRY_MOST: ClockSpan = ClockSpan::from_millis(5_000);
+const MAX_RETRY_AFTER: ClockSpan = ClockSpan::from_millis(5_000);
 /// The shortest wait.
-const MILLISECOND: ClockSpan = ClockSpan::from_millis(1);
+const MIN_PAUSE: ClockSpan = ClockSpan::from_millis(1);
 
 /// Why a reservation was turned down.
 #[derive(Clone, Debug)]
@@ -54,17 +54,17 @@
     /// How long the request waited for tokens.
     pub waited: ClockSpan,
     /// How long the store had failed to answer.
-    pub store_away: ClockSpan,
+    pub store_outage: ClockSpan,
 }
 
 /// Tokens that are set aside for one request.
 #[derive(Debug)]
 pub struct TokenReservation {
-    desk: Rc<BudgetDesk>,
+    manager: Rc<BudgetManager>,
     organisation: OrganisationId,
     reserved: u64,
     /// Of these, tokens that other instances lent.
-    lent: u64,
+    borrowed: u64,
     spent: Cell<u64>,
 }
 
@@ -91,38 +91,42 @@
 
 impl Drop for TokenReservation {
     fn drop(&mut self) {
-        let mut book = self.desk.book.borrow_mut();
+        let mut book = self.manager.book.borrow_mut();
         let spent = self.spent.get();
-        book.settle_loan(&self.organisation, self.reserved, self.lent, spent);
+        book.settle_loan(&self.organisation, self.reserved, self.borrowed, spent);
     }
 }
 
 /// A request that waits for tokens.
-pub(super) struct WaitingRequest<'a> {
-    desk: &'a BudgetDesk,
+pub(super) struct DemandGuard<'a> {
+    manager: &'a BudgetManager,
     organisation: &'a OrganisationId,
     tokens: u64,
 }
 
-impl<'a> WaitingRequest<'a> {
-    pub(super) fn new(desk: &'a BudgetDesk, organisation: &'a OrganisationId, tokens: u64) -> Self {
-        desk.book.borrow_mut().wait(organisation, tokens, true);
+impl<'a> DemandGuard<'a> {
+    pub(super) fn new(
+        manager: &'a BudgetManager,
+        organisation: &'a OrganisationId,
+        tokens: u64,
+    ) -> Self {
+        manager.book.borrow_mut().wait(organisation, tokens, true);
         Self {
-            desk,
+            manager,
             organisation,
             tokens,
         }
     }
 }
 
-impl Drop for WaitingRequest<'_> {
+impl Drop for DemandGuard<'_> {
     fn drop(&mut self) {
-        let mut book = self.desk.book.borrow_mut();
+        let mut book = self.manager.book.borrow_mut();
         book.wait(self.organisation, self.tokens, false);
     }
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Sets the worst case of a request aside, and waits for the store where
     /// that can help within `time_left`.
     ///
@@ -132,47 +136,49 @@
     pub async fn reserve(
         self: &Rc<Self>,
         organisation: &OrganisationId,
-        worst: TokenCount,
+        worst_case: TokenCount,
         time_left: ClockSpan,
     ) -> Result<TokenReservation, BudgetRefusal> {
-        let tokens = worst.get();
-        let began = self.clock.now();
-        let patience = self.patience(time_left);
+        let tokens = worst_case.get();
+        let started = self.clock.now();
+        let store_wait = self.store_wait(time_left);
         let mut waiting = None;
         let mut may_borrow = true;
         loop {
             let changed = self.changed.listen();
-            let answer = self.ask(organisation, tokens);
+            let answer = self.try_reserve(organisation, tokens);
             match answer {
                 ReserveAnswer::Granted => return Ok(self.reservation(organisation, tokens, 0)),
-                ReserveAnswer::GrantedLoan(lent) => {
-                    return Ok(self.reservation(organisation, tokens, lent));
+                ReserveAnswer::GrantedLoan(borrowed) => {
+                    return Ok(self.reservation(organisation, tokens, borrowed));
                 }
                 _ => {}
             }
-            let waited = self.clock.now().since(began);
-            if !self.holds(organisation)
-                && self.ask_holders(organisation, tokens, time_left).await?
+            let waited = self.clock.now().since(started);
+            if !self.holds_tokens(organisation)
+                && self
+                    .borrow_from_holders(organisation, tokens, time_left)
+                    .await?
             {
-                let waited = self.clock.now().since(began);
-                if waited < patience {
+                let waited = self.clock.now().since(started);
+                if waited < store_wait {
                     continue;
                 }
             }
-            let pause = self.pause(answer, patience, waited, third_of(time_left));
+            let pause = self.pause(answer, store_wait, waited, max_wait(time_left));
             if self.should_borrow(answer, organisation, tokens, pause.is_err())
                 && std::mem::take(&mut may_borrow)
             {
-                let limit = third_of(time_left).min(BORROW_PATIENCE);
+                let limit = max_wait(time_left).min(MAX_BORROW_TIME);
                 if self.borrow(organisation, tokens, limit).await {
                     continue;
                 }
             }
-            let pause =
-                pause.map_err(|refusal| self.explain(refusal, answer, organisation, waited))?;
+            let pause = pause
+                .map_err(|refusal| self.budget_refusal(refusal, answer, organisation, waited))?;
             if waiting.is_none() {
-                waiting = Some(WaitingRequest::new(self, organisation, tokens));
-                self.ring();
+                waiting = Some(DemandGuard::new(self, organisation, tokens));
+                self.wake_writers();
             }
             wait_until(changed, timer_span(pause)).await;
         }
@@ -184,28 +190,28 @@
     /// # Errors
     ///
     /// The holders have too little.
-    async fn ask_holders(
+    async fn borrow_from_holders(
         &self,
         organisation: &OrganisationId,
         tokens: u64,
         time_left: ClockSpan,
     ) -> Result<bool, BudgetRefusal> {
-        let began = self.clock.now();
-        let limit = third_of(time_left).min(BORROW_PATIENCE);
-        match self.borrow_share(organisation, tokens, limit).await {
-            ShareEnd::Lent => Ok(true),
-            ShareEnd::Unreached => {
+        let started = self.clock.now();
+        let limit = max_wait(time_left).min(MAX_BORROW_TIME);
+        match self.borrow_as_non_holder(organisation, tokens, limit).await {
+            ShareOutcome::Lent => Ok(true),
+            ShareOutcome::Unreachable => {
                 self.stand_in(organisation);
                 Ok(false)
             }
-            ShareEnd::Declined(cause) => {
-                let waited = self.clock.now().since(began);
-                Err(self.explain(refusal_of(cause), cause, organisation, waited))
+            ShareOutcome::Declined(cause) => {
+                let waited = self.clock.now().since(started);
+                Err(self.budget_refusal(refusal_without_wait(cause), cause, organisation, waited))
             }
         }
     }
 
-    fn explain(
+    fn budget_refusal(
         &self,
         answer: RefusalAnswer,
         cause: ReserveAnswer,
@@ -219,12 +225,12 @@
             cause,
             facts: self.book.borrow().facts(organisation, now),
             waited,
-            store_away: since.map_or(ClockSpan::default(), |since| now.since(since)),
+            store_outage: since.map_or(ClockSpan::default(), |since| now.since(since)),
         }
     }
 
     /// Whether this instance holds tokens of an organisation.
-    fn holds(&self, organisation: &OrganisationId) -> bool {
+    fn holds_tokens(&self, organisation: &OrganisationId) -> bool {
         let now = self.clock.now();
         self.book.borrow().is_holder(organisation, now)
     }
@@ -233,10 +239,10 @@
     fn stand_in(&self, organisation: &OrganisationId) {
         let now = self.clock.now();
         self.book.borrow_mut().stand_in(organisation, now);
-        self.ring();
+        self.wake_writers();
     }
 
-    fn ask(&self, organisation: &OrganisationId, tokens: u64) -> ReserveAnswer {
+    fn try_reserve(&self, organisation: &OrganisationId, tokens: u64) -> ReserveAnswer {
         let now = self.clock.now();
         let mut book = self.book.borrow_mut();
         book.reserve(organisation, tokens, now)
@@ -265,88 +271,91 @@
         self: &Rc<Self>,
         id: &OrganisationId,
         tokens: u64,
-        lent: u64,
+        borrowed: u64,
     ) -> TokenReservation {
         TokenReservation {
-            desk: Rc::clone(self),
+            manager: Rc::clone(self),
             organisation: id.clone(),
             reserved: tokens,
-            lent,
+            borrowed,
             spent: Cell::new(0),
         }
     }
 
     /// How long a request waits for the store.
-    fn patience(&self, time_left: ClockSpan) -> ClockSpan {
-        let usual = self.answer_ms.get() * PATIENCE_ANSWERS;
-        let most = usual.clamp(LEAST_PATIENCE_MS, MOST_PATIENCE_MS);
-        ClockSpan::from_millis(most).min(third_of(time_left))
+    fn store_wait(&self, time_left: ClockSpan) -> ClockSpan {
+        let usual = self.mean_latency_ms.get() * STORE_WAIT_LATENCIES;
+        let most = usual.clamp(MIN_STORE_WAIT_MS, MAX_STORE_WAIT_MS);
+        ClockSpan::from_millis(most).min(max_wait(time_left))
     }
 
     /// How long to wait before asking again.
     fn pause(
         &self,
         answer: ReserveAnswer,
-        patience: ClockSpan,
+        store_wait: ClockSpan,
         waited: ClockSpan,
         time_left: ClockSpan,
     ) -> Result<ClockSpan, RefusalAnswer> {
         let cut_off = self.is_cut_off();
-        let refuse =
+        let unavailable =
             |after| Err(RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(after));
-        let left = ClockSpan::from_millis(patience.as_millis().saturating_sub(waited.as_millis()));
+        let left =
+            ClockSpan::from_millis(store_wait.as_millis().saturating_sub(waited.as_millis()));
         match answer {
-            answer if answer.is_used_up() => Err(refusal_of(answer)),
+            answer if answer.is_used_up() => Err(refusal_without_wait(answer)),
             ReserveAnswer::Locked(span)
-                if span <= LOCK_PATIENCE && waited < patience_of_lock(patience) =>
+                if span <= MAX_LOCK_WAIT && waited < lock_wait(store_wait) =>
             {
-                Ok(span.max(MILLISECOND))
+                Ok(span.max(MIN_PAUSE))
             }
-            ReserveAnswer::Locked(span) if cut_off || left <= MILLISECOND => {
-                refuse(span.min(RETRY_MOST))
+            ReserveAnswer::Locked(span) if cut_off || left <= MIN_PAUSE => {
+                unavailable(span.min(MAX_RETRY_AFTER))
             }
             ReserveAnswer::Locked(span) => Ok(span.min(left)),
-            _ if cut_off => refuse(RETRY_UNKNOWN),
-            _ if waited < patience.max(SHARE_PATIENCE.min(time_left)) => Ok(left.max(SHARE_STEP)),
-            _ => refuse(RETRY_UNKNOWN),
+            _ if cut_off => unavailable(DEFAULT_RETRY_AFTER),
+            _ if waited < store_wait.max(PEER_TOKEN_WAIT.min(time_left)) => {
+                Ok(left.max(RECHECK_INTERVAL))
+            }
+            _ => unavailable(DEFAULT_RETRY_AFTER),
         }
     }
 
     /// Has rows written for what waits.
-    pub(super) fn ring(&self) {
-        self.budget_bell.notify(usize::MAX);
-        self.line_bell.notify(usize::MAX);
+    pub(super) fn wake_writers(&self) {
+        self.budget_wakeup.notify(usize::MAX);
+        self.line_wakeup.notify(usize::MAX);
     }
 
     /// Whether the store has failed for longer than a request would wait.
     pub(super) fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
-        let patience = ClockSpan::from_millis(LEAST_PATIENCE_MS);
+        let threshold = ClockSpan::from_millis(MIN_STORE_WAIT_MS);
         let since = self.failing_since.get();
-        since.is_some_and(|since| now.since(since) >= patience)
+        since.is_some_and(|since| now.since(since) >= threshold)
     }
 }
 
 /// The refusal where waiting does not help.
-fn refusal_of(cause: ReserveAnswer) -> RefusalAnswer {
+fn refusal_without_wait(cause: ReserveAnswer) -> RefusalAnswer {
     match cause {
         ReserveAnswer::Exhausted => {
-            RefusalAnswer::new(ForwardRefusal::BudgetExhausted).after(RETRY_MOST)
+            RefusalAnswer::new(ForwardRefusal::BudgetExhausted).after(MAX_RETRY_AFTER)
         }
         // Only a top-up helps.
         ReserveAnswer::Frozen => {
-            RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(RETRY_MOST)
+            RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(MAX_RETRY_AFTER)
         }
-        _ => RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(RETRY_UNKNOWN),
+        _ => RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(DEFAULT_RETRY_AFTER),
     }
 }
 
 /// A request that others overtake at the line waits no longer than this.
-fn patience_of_lock(patience: ClockSpan) -> ClockSpan {
-    patience.max(LOCK_PATIENCE)
+fn lock_wait(store_wait: ClockSpan) -> ClockSpan {
+    store_wait.max(MAX_LOCK_WAIT)
 }
 
 /// The part of a request's time that may go into waiting for tokens.
-fn third_of(time_left: ClockSpan) -> ClockSpan {
+fn max_wait(time_left: ClockSpan) -> ClockSpan {
     ClockSpan::from_millis(time_left.as_millis() / 3)
 }
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -14,18 +14,18 @@
 use smol::LocalExecutor;
 use smol::Timer;
 
+use super::BUDGET_CHECK_INTERVAL;
 use super::BUDGET_TABLE;
-use super::BUDGET_TICK;
-use super::BudgetDesk;
-use super::CONTENDED_EACH;
-use super::CONTENDED_PAUSE;
-use super::FOLLOW_EACH;
-use super::FOLLOW_PAUSE;
-use super::START_SPREAD_EACH;
+use super::BudgetManager;
+use super::CONTENDED_POLL_INTERVAL;
+use super::CONTENDED_POLL_INTERVAL_PER_WRITER;
+use super::POLL_INTERVAL;
+use super::POLL_INTERVAL_PER_WRITER;
+use super::START_JITTER_PER_WRITER;
 use super::calls::DecodedRow;
 use super::calls::budget_key;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use super::wait_until;
 use crate::clock::timer_span;
 use crate::store::RowChanges;
@@ -34,70 +34,70 @@
 use crate::store::WriteAnswer;
 
 /// Times that a row is written again after it changed meanwhile.
-const MAX_CONFLICTS: usize = 5;
+const MAX_WRITE_ATTEMPTS: usize = 5;
 
 /// Pause for a write of the same row that is on its way.
-const WRITE_PAUSE: Duration = Duration::from_millis(30);
+const PENDING_WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// How a write of a budget's row ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PutEnd {
+enum WriteOutcome {
     Written,
     /// The row has changed meanwhile.
     Changed,
     /// The store turned the write down for its rate.
-    Limited,
+    RateLimited,
     Failed,
 }
 
 /// What keeping a row came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum KeepEnd {
+enum UpdateOutcome {
     /// A row was written that the present state asked for.
     Written,
     /// The row needs nothing.
-    Kept,
+    NothingDue,
     /// The store turned a write down for its rate.
-    Limited,
+    RateLimited,
     /// The store failed, or others wrote the row again and again.
     Failed,
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Starts a task for each budget as it becomes known.
-    pub(super) async fn watch_budgets(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
+    pub(super) async fn spawn_budget_tasks(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         let mut watched: Vec<OrganisationId> = Vec::new();
         loop {
-            let bell = self.budget_bell.listen();
+            let wakeup = self.budget_wakeup.listen();
             let known: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
             for id in known {
                 if let Err(place) = watched.binary_search(&id) {
                     watched.insert(place, id.clone());
-                    let desk = Rc::clone(&self);
+                    let manager = Rc::clone(&self);
                     executor
-                        .spawn(async move { desk.keep_budget(&id).await })
+                        .spawn(async move { manager.maintain_budget(&id).await })
                         .detach();
                 }
             }
-            bell.await;
+            wakeup.await;
         }
     }
 
     /// Follows what other instances write, so that this one knows their needs
     /// and seldom writes in vain.
-    pub(super) async fn follow_budgets(&self) {
+    pub(super) async fn poll_changes(&self) {
         let mut window = FollowWindow::new(FollowSettings::default());
-        let mut since = self.newest.get();
+        let mut since = self.newest_version.get();
         loop {
-            let interval = self.follow_interval();
+            let interval = self.poll_interval();
             let passed_over = window.passed_over(interval);
             if passed_over > ClockSpan::default() {
                 Timer::after(timer_span(passed_over)).await;
-                since = self.newest_after(since).await;
+                since = self.newest_version_after(since).await;
             }
             let rest = interval.as_millis() - passed_over.as_millis();
             Timer::after(Duration::from_millis(rest)).await;
-            let usual = self.answer_ms.get();
+            let usual = self.mean_latency_ms.get();
             let began = self.clock.now();
             match (self.store.changes)(BUDGET_TABLE, since).await {
                 Ok(changes) => {
@@ -105,27 +105,27 @@
                     let took = self.clock.now().since(began).as_millis();
                     let extra = ClockSpan::from_millis(took.saturating_sub(usual));
                     window.answered(extra, interval);
-                    self.take_changes(&changes);
+                    self.apply_changes(&changes);
                 }
                 Err(StoreFault::HistoryGone) => {
                     // What was missed shows when a write is turned down.
-                    since = self.newest.get();
+                    since = self.newest_version.get();
                 }
                 Err(fault) => {
                     window.failed();
-                    self.note_fault("changes", &fault);
+                    self.record_fault("changes", &fault);
                 }
             }
         }
     }
 
     /// Time between two questions for other instances' writes.
-    fn follow_interval(&self) -> ClockSpan {
+    fn poll_interval(&self) -> ClockSpan {
         let contended = self.book.borrow().is_contended(self.clock.now());
         let (base, each) = if contended {
-            (CONTENDED_PAUSE, CONTENDED_EACH)
+            (CONTENDED_POLL_INTERVAL, CONTENDED_POLL_INTERVAL_PER_WRITER)
         } else {
-            (FOLLOW_PAUSE, FOLLOW_EACH)
+            (POLL_INTERVAL, POLL_INTERVAL_PER_WRITER)
         };
         let writers = self.book.borrow().row_writers() as u64;
         ClockSpan::from_millis(base.as_millis() + each.as_millis() * writers)
@@ -133,82 +133,83 @@
 
     /// The store's newest version, asked for with a small question if no other
     /// answer has told one after `since`.
-    async fn newest_after(&self, since: u64) -> u64 {
-        if self.newest.get() <= since {
+    async fn newest_version_after(&self, since: u64) -> u64 {
+        if self.newest_version.get() <= since {
             self.read_row("newest", self.line_key()).await;
         }
-        self.newest.get().max(since)
+        self.newest_version.get().max(since)
     }
 
-    fn take_changes(&self, changes: &RowChanges) {
-        self.newest.set(self.newest.get().max(changes.newest));
+    fn apply_changes(&self, changes: &RowChanges) {
+        self.newest_version
+            .set(self.newest_version.get().max(changes.newest));
         for (part, state) in &changes.rows {
             let Ok(id) = part.parse::<OrganisationId>() else {
                 continue;
             };
             let known = self.book.borrow().budget_version(&id);
-            if state.version > known && known > 0 && self.take_budget(&id, state) {
-                self.budget_bell.notify(usize::MAX);
+            if state.version > known && known > 0 && self.apply_budget(&id, state) {
+                self.budget_wakeup.notify(usize::MAX);
             }
         }
     }
 
     /// Keeps one budget's row up to date.
-    async fn keep_budget(&self, id: &OrganisationId) {
+    async fn maintain_budget(&self, id: &OrganisationId) {
         let writers = u32::try_from(self.book.borrow().row_writers()).unwrap_or(u32::MAX);
-        let spread = START_SPREAD_EACH * writers;
+        let spread = START_JITTER_PER_WRITER * writers;
         Timer::after(spread.mul_f64(fastrand::f64())).await;
         let mut pace = WritePace::new(PaceSettings::default());
         loop {
-            let bell = self.budget_bell.listen();
-            match self.keep_budget_once(id).await {
-                KeepEnd::Written => {
+            let wakeup = self.budget_wakeup.listen();
+            match self.update_budget(id).await {
+                UpdateOutcome::Written => {
                     pace.carried_out();
-                    wait_until(bell, BUDGET_TICK).await;
+                    wait_until(wakeup, BUDGET_CHECK_INTERVAL).await;
                 }
-                KeepEnd::Kept => wait_until(bell, BUDGET_TICK).await,
-                KeepEnd::Limited => {
+                UpdateOutcome::NothingDue => wait_until(wakeup, BUDGET_CHECK_INTERVAL).await,
+                UpdateOutcome::RateLimited => {
                     pace.turned_down();
                     Timer::after(timer_span(pace.pause(fastrand::f64()))).await;
                 }
-                KeepEnd::Failed => {
-                    Timer::after(fault_pause()).await;
+                UpdateOutcome::Failed => {
+                    Timer::after(retry_delay()).await;
                 }
             }
         }
     }
 
     /// Brings one budget's row up to date.
-    async fn keep_budget_once(&self, id: &OrganisationId) -> KeepEnd {
+    async fn update_budget(&self, id: &OrganisationId) -> UpdateOutcome {
         if !self.book.borrow().tends(id, self.clock.now()) {
-            return KeepEnd::Kept;
+            return UpdateOutcome::NothingDue;
         }
         let unsure = self.book.borrow().budget_unsure(id);
         if unsure && !self.read_budget(id).await {
-            return KeepEnd::Failed;
+            return UpdateOutcome::Failed;
         }
-        for _ in 0..MAX_CONFLICTS {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let Some(row) = self.book.borrow().next_budget(id, self.clock.now()) else {
-                return KeepEnd::Kept;
+                return UpdateOutcome::NothingDue;
             };
-            match self.put_budget(id, row).await {
-                PutEnd::Written => return KeepEnd::Written,
-                PutEnd::Limited => return KeepEnd::Limited,
-                PutEnd::Failed => return KeepEnd::Failed,
-                PutEnd::Changed => {}
+            match self.write_budget(id, row).await {
+                WriteOutcome::Written => return UpdateOutcome::Written,
+                WriteOutcome::RateLimited => return UpdateOutcome::RateLimited,
+                WriteOutcome::Failed => return UpdateOutcome::Failed,
+                WriteOutcome::Changed => {}
             }
         }
-        KeepEnd::Failed
+        UpdateOutcome::Failed
     }
 
     async fn read_budget(&self, id: &OrganisationId) -> bool {
         let Some(state) = self.read_row("budget", budget_key(id)).await else {
             return false;
         };
-        self.take_budget(id, &state)
+        self.apply_budget(id, &state)
     }
 
-    fn take_budget(&self, id: &OrganisationId, state: &RowState) -> bool {
+    fn apply_budget(&self, id: &OrganisationId, state: &RowState) -> bool {
         let DecodedRow::Readable(row) = self.decode::<BudgetRow>(&budget_key(id), state) else {
             return false;
         };
@@ -217,9 +218,9 @@
         true
     }
 
-    async fn put_budget(&self, id: &OrganisationId, row: BudgetRow) -> PutEnd {
+    async fn write_budget(&self, id: &OrganisationId, row: BudgetRow) -> WriteOutcome {
         let Some(bytes) = encode(&row) else {
-            return PutEnd::Failed;
+            return WriteOutcome::Failed;
         };
         let version = self.book.borrow().budget_version(id);
         let before = self.book.borrow().granted(id);
@@ -234,34 +235,34 @@
             Ok(WriteAnswer::Done(version, _)) => {
                 self.book.borrow_mut().wrote_budget(id, version);
                 self.changed.notify(usize::MAX);
-                self.line_bell.notify(usize::MAX);
-                self.note_grant(id, before, version);
-                PutEnd::Written
+                self.line_wakeup.notify(usize::MAX);
+                self.log_grant(id, before, version);
+                WriteOutcome::Written
             }
             Ok(WriteAnswer::Changed(state)) => {
                 self.book.borrow_mut().dropped_budget(id);
-                if self.take_budget(id, &state) {
-                    PutEnd::Changed
+                if self.apply_budget(id, &state) {
+                    WriteOutcome::Changed
                 } else {
-                    PutEnd::Failed
+                    WriteOutcome::Failed
                 }
             }
             Err(StoreFault::Limited) => {
                 self.book.borrow_mut().dropped_budget(id);
-                PutEnd::Limited
+                WriteOutcome::RateLimited
             }
             Err(StoreFault::NotDone(_) | StoreFault::HistoryGone) => {
                 self.book.borrow_mut().dropped_budget(id);
-                PutEnd::Failed
+                WriteOutcome::Failed
             }
             Err(StoreFault::Unknown(_)) => {
                 self.book.borrow_mut().lost_budget(id);
-                PutEnd::Failed
+                WriteOutcome::Failed
             }
         }
     }
 
-    fn note_grant(&self, id: &OrganisationId, before: u64, version: u64) {
+    fn log_grant(&self, id: &OrganisationId, before: u64, version: u64) {
         let facts = self.book.borrow().facts(id, self.clock.now());
         let draft = EventDraft::new("budget.granted")
             .organisation(id)
@@ -280,10 +281,10 @@
         self.book.borrow_mut().leave();
         let ids: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
         for id in ids {
-            for _ in 0..MAX_CONFLICTS {
+            for _ in 0..MAX_WRITE_ATTEMPTS {
                 // A write of the keeping task may still be on its way.
                 if self.book.borrow().budget_writing(&id) {
-                    Timer::after(WRITE_PAUSE).await;
+                    Timer::after(PENDING_WRITE_CHECK_INTERVAL).await;
                     continue;
                 }
                 let unsure = self.book.borrow().budget_unsure(&id);
@@ -293,7 +294,7 @@
                 let Some(row) = self.book.borrow().last_budget(&id) else {
                     break;
                 };
-                if self.put_budget(&id, row).await != PutEnd::Changed {
+                if self.write_budget(&id, row).await != WriteOutcome::Changed {
                     break;
                 }
             }
--- a/crates/guavawell-forward/src/leave.rs
+++ b/crates/guavawell-forward/src/leave.rs
@@ -28,7 +28,7 @@
         Timer::after(timer_span(times.announce)).await;
     };
     let told = async {
-        router.budgets.announce_leaving().await;
+        router.budgets.deregister().await;
         std::future::pending::<()>().await;
     };
     announced.or(told).await;
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -257,5 +257,5 @@
     record.note("budget_row", facts.row);
     record.note("budget_row_age_ms", facts.row_age.as_millis());
     record.note("budget_waited_ms", refusal.waited.as_millis());
-    record.note("store_away_ms", refusal.store_away.as_millis());
+    record.note("store_away_ms", refusal.store_outage.as_millis());
 }
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -22,7 +22,7 @@
 use guavawell_fleet::event::EventDraft;
 use guavawell_fleet::event::EventLog;
 
-use crate::budget::BudgetDesk;
+use crate::budget::BudgetManager;
 use crate::clock::SteadyClock;
 use crate::clock::wait_while;
 use crate::config::ConfigDesk;
@@ -80,7 +80,7 @@
     /// The other instances.
     pub peers: Rc<PeerDesk>,
     /// Budgets.
-    pub budgets: Rc<BudgetDesk>,
+    pub budgets: Rc<BudgetManager>,
     /// Requests that crash servers.
     pub poison: Rc<PoisonDesk>,
     /// Looks at whether servers that broke off have crashed.
@@ -103,7 +103,7 @@
         clock: SteadyClock,
         log: EventLog,
         configs: Rc<ConfigDesk>,
-        budgets: Rc<BudgetDesk>,
+        budgets: Rc<BudgetManager>,
         poison: Rc<PoisonDesk>,
     ) -> Self {
         Self {
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -19,7 +19,7 @@
 use guavawell_core::id::InstanceId;
 use guavawell_core::poison::PoisonSettings;
 use guavawell_fleet::event::EventLog;
-use guavawell_forward::budget::BudgetDesk;
+use guavawell_forward::budget::BudgetManager;
 use guavawell_forward::clock::SteadyClock;
 use guavawell_forward::config::ConfigDesk;
 use guavawell_forward::config::ConfigTold;
@@ -88,7 +88,7 @@
         None,
         Rc::clone(&configs),
     ));
-    let desk = BudgetDesk::new(member, book, clock, log.clone(), store, own, peers);
+    let desk = BudgetManager::new(member, book, clock, log.clone(), store, own, peers);
     let settings = ForwardSettings {
         instance,
         zone: "z1".parse().expect("a valid id"),
