--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -1,4 +1,4 @@
-//! Asks other instances for tokens, and accounts to them.
+//! Borrows tokens from other instances, and returns what was not spent.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,34 +23,35 @@
 use crate::peer::PeerQuestion;
 use crate::peer::read_answer;
 
-/// Longest wait for an instance's answer: some milliseconds on the way and, at
-/// a tenth of a core, some tens in its queue.
+/// Timeout of a loan or return: a few milliseconds on the network and, at an
+/// instance with a tenth of a core, some tens of milliseconds in its queue.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(150);
-/// Instances that a holder asks for one request.
+/// Instances that a holder asks for a loan, for one request.
 const MAX_LENDERS: usize = 4;
-/// Of these, instances that unlock tokens early in a cut.
+/// Largest number of these that are asked because their spending limits unlock
+/// tokens early while the store is out of reach.
 const MAX_EARLY_LENDERS: usize = 2;
-/// Holders that an instance without tokens asks for one request: near a
-/// budget's end what it needs may lie in any zone.
+/// Holders that another instance asks for one request: when a budget is nearly
+/// used up, the remaining tokens may be in any zone.
 const MAX_HOLDERS: usize = 8;
-/// Pause between looks at what is to be accounted for.
+/// Interval between checks for loan returns that are due.
 const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How a question to the holders ended.
+/// How an attempt to borrow from the holders ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShareOutcome {
-    /// The request can be reserved now.
+    /// A holder lent enough to reserve the request.
     Lent,
-    /// The holders that were reached had too little.
+    /// The holders that answered had too few tokens.
     Declined(ReserveAnswer),
     /// No holder answered.
     Unreachable,
 }
 
 impl BudgetManager {
-    /// Borrows what a holder's request of `tokens` lacks; whether it can be
-    /// reserved now. A question that brings no answer may have cost its lender
-    /// tokens, and is not sent again.
+    /// Borrows the missing part of `tokens` for a request at a holder; true if it
+    /// can be reserved now. An instance that does not answer is not asked again: it
+    /// may already have lent the tokens.
     pub(super) async fn borrow(
         &self,
         organisation: &OrganisationId,
@@ -76,9 +77,9 @@
         false
     }
 
-    /// Borrows the tokens of one request from the organisation's holders: the
-    /// one of the own zone, the next in rank where it does not answer, those of
-    /// other zones where it has too little.
+    /// Borrows the tokens of one request from the organisation's holders, in the
+    /// order of their rank, the local zone first. If one does not answer, the next
+    /// in rank is asked; if one has too few tokens, the rest of its zone is skipped.
     pub(super) async fn borrow_as_non_holder(
         &self,
         organisation: &OrganisationId,
@@ -108,7 +109,7 @@
                         return ShareOutcome::Declined(answer.cause);
                     }
                     declined = Some(answer.cause);
-                    // The next in rank of this zone would ask the same row.
+                    // Another instance of this zone would depend on the same row.
                     let zone = self.peers.zone_of(&instance);
                     holders.retain(|(other, _)| self.peers.zone_of(other) != zone);
                 }
@@ -123,7 +124,8 @@
         book.loan_ask(organisation, tokens, self.clock.now())
     }
 
-    /// Asks one instance and takes in what it lends; `None` without an answer.
+    /// Asks one instance for a loan and books what it lends; `None` without an
+    /// answer.
     async fn request_loan(
         &self,
         organisation: &OrganisationId,
@@ -143,7 +145,7 @@
         let (answer, nonce) = match result {
             Ok(Some(answer)) => answer,
             Ok(None) => {
-                self.record_unreachable(instance, &"an answer that cannot be read");
+                self.record_unreachable(instance, &"malformed loan answer");
                 return None;
             }
             Err(error) => {
@@ -174,12 +176,12 @@
         self.peers.avoid(instance);
     }
 
-    /// Instances that a holder asks: those that unlock tokens early, then
-    /// others, each drawn with a chance by what it holds: were all short ones to
-    /// ask the richest, it would soon have nothing.
+    /// Chooses the instances that a holder asks: first those whose spending limits
+    /// unlock tokens early, then others at random, weighted by the tokens they have
+    /// free. If all asked the one with the most, it would soon run out.
     ///
-    /// An instance that the store does not serve asks others too: one that it
-    /// serves can fetch what is needed.
+    /// While the store is out of reach, the rest are any other instances: one that
+    /// reaches the store can fetch tokens and lend them.
     fn choose_lenders(
         &self,
         organisation: &OrganisationId,
@@ -219,7 +221,7 @@
         chosen
     }
 
-    /// Fills up with any other instances.
+    /// Adds random instances up to [`MAX_LENDERS`].
     fn add_random_peers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
         let mut others = self.peers.addresses();
         others.retain(|(instance, _)| chosen.iter().all(|(held, _)| held != instance));
@@ -228,7 +230,7 @@
         chosen.append(&mut others);
     }
 
-    /// Accounts to lenders for as long as the process lives.
+    /// Sends loan returns to lenders for as long as the process runs.
     pub(super) async fn send_due_returns(self: Rc<Self>) {
         loop {
             Timer::after(RETURN_CHECK_INTERVAL).await;
@@ -241,7 +243,8 @@
         }
     }
 
-    /// Sends an account once: told twice, it would give tokens back twice.
+    /// Sends a loan return, without a retry: a lender that received it twice would
+    /// count the returned tokens twice.
     async fn send_return(&self, loan_return: &LoanReturn) -> Result<(), PeerError> {
         let address = self.peers.address_of(&loan_return.lender.instance);
         let address = address.ok_or(ChannelError::Closed)?;
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, and what their answers tell of it.
+//! Calls to the store, with its response time, outages and rate limit.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -18,17 +18,17 @@
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-/// Answers over which their usual time is averaged.
+/// Number of responses over which the mean response time is averaged.
 const LATENCY_WINDOW: u64 = 8;
 
-/// Pause between log lines about calls that the store turned down for its rate.
+/// Shortest interval between events about calls rejected by the rate limit.
 const RATE_LIMIT_LOG_INTERVAL: ClockSpan = ClockSpan::from_millis(1_000);
 
-/// A row's value.
+/// A decoded row.
 pub(super) enum DecodedRow<T> {
     /// The row, if there is one.
     Readable(Option<T>),
-    /// A value that does not decode.
+    /// The value cannot be decoded.
     Unreadable,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reads a row and takes note of how the store does.
+    /// Reads a row, and records the response time or the fault.
     pub(super) async fn read_row(&self, what: &str, key: RowKey) -> Option<RowState> {
         let started = self.clock.now();
         let answer = (self.store.read)(key).await;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Writes a row under a condition and takes note of how the store does.
+    /// Writes a row if it still has `version`, and records the response time or the
+    /// fault.
     pub(super) async fn write_row(
         &self,
         what: &str,
@@ -116,8 +117,8 @@
         }
     }
 
-    /// The store answers, and turned a call down for its rate. Logged once in a
-    /// while with the number of calls since.
+    /// Records a call that the store's rate limit rejected. The store does answer,
+    /// so this is no outage; one event reports all such calls of an interval.
     fn record_rate_limit(&self, what: &str) {
         metrics::counter!("guavawell_forward_store_limited_total").increment(1);
         let now = self.clock.now();
@@ -134,8 +135,8 @@
         self.log.emit(draft);
     }
 
-    /// The row in a state. A value that does not decode is left alone: nothing is spent by it and nothing written
-    /// over it.
+    /// Decodes a row. A value that cannot be decoded grants nothing and is never
+    /// overwritten.
     pub(super) fn decode<T: DeserializeOwned>(
         &self,
         key: &RowKey,
@@ -168,6 +169,6 @@
 
 pub(super) fn encode(row: &impl Serialize) -> Option<Vec<u8>> {
     encode_row(row)
-        .inspect_err(|error| log::error!("a row cannot be encoded: {error}"))
+        .inspect_err(|error| log::error!("cannot encode a row: {error}"))
         .ok()
 }
--- a/crates/guavawell-forward/src/budget/fleet_key.rs
+++ b/crates/guavawell-forward/src/budget/fleet_key.rs
@@ -1,9 +1,9 @@
-//! Reads the key by which instances know each other, or writes the first one.
+//! Reads the key that authenticates instances to each other, or creates it.
 //!
-//! Whoever reaches an instance's port could take tokens, or claim to give some
-//! back that were spent. So each question carries a key that only the fleet's
-//! instances can read: it lies in the platform's store, and the first instance
-//! that finds none writes one.
+//! Without it, anyone who reaches an instance's port could borrow tokens, or
+//! return tokens that were spent. So each message carries a proof of a key that
+//! only the fleet's instances can read from the platform's store. The first
+//! instance that finds no key writes one.
 
 use guavawell_core::grant::decode_row;
 use smol::Timer;
@@ -17,13 +17,13 @@
 use crate::store::RowState;
 use crate::store::WriteAnswer;
 
-/// Table of the key, in its unnamed part.
+/// Table of the key; its row is in [`KEY_PART`].
 const KEY_TABLE: &str = "guavawell_keys";
-/// The part of [`KEY_TABLE`].
+/// Part of [`KEY_TABLE`] that holds the row.
 const KEY_PART: &str = "";
 
 impl BudgetManager {
-    /// Reads the fleet's key, or writes the first one, however long it takes.
+    /// Reads the fleet's key, or creates it; retries until it succeeds.
     pub(super) async fn load_key(&self) {
         loop {
             if let Some(key) = self.read_or_write_key().await {
@@ -56,7 +56,7 @@
 fn decode_key(state: &RowState) -> Option<FleetKey> {
     let key = decode_row(state.value.as_deref()?);
     if let Err(error) = &key {
-        log::error!("the fleet's key in {KEY_TABLE} cannot be read: {error}");
+        log::error!("cannot decode the fleet's key in {KEY_TABLE}: {error}");
     }
     key.ok()
 }
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -1,4 +1,4 @@
-//! Answers other instances' questions for tokens.
+//! Serves requests of other instances: loans, returns, suspects, configuration.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -27,15 +27,15 @@
 use crate::peer::VERSION_FIELD;
 use crate::peer::write_answer;
 
-/// How long a lender waits for the store: two of its answers and a write of the
-/// same row that is on its way. Less than an asker waits by what the answer
-/// takes, or its tokens would be lost.
+/// How long a lender waits for the store: a pending write of the same row and two
+/// more responses. Shorter than the borrower's timeout by the time that the answer
+/// takes: tokens lent in an answer that arrives too late stay spent.
 const MAX_LEND_WAIT: ClockSpan = ClockSpan::from_millis(100);
-/// Longest time that a connection stays open without a question.
+/// Time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl BudgetManager {
-    /// Answers other instances for as long as the process lives.
+    /// Serves other instances for as long as the process runs.
     pub async fn serve_peers(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -46,7 +46,7 @@
             executor
                 .spawn(async move {
                     if let Err(error) = manager.serve_peer(channel).await {
-                        log::debug!("another instance's questions ended: {error}");
+                        log::debug!("connection from another instance ended: {error}");
                     }
                 })
                 .detach();
@@ -58,8 +58,8 @@
         loop {
             let asked = within(IDLE_TIMEOUT, ReceivedQuestion::read(&mut channel)).await?;
             let Some(key) = self.peers.key() else {
-                // A process that has just started may be asked before it has
-                // read the key.
+                // A process that has just started may be called before it has read
+                // the key.
                 return self.reject(&channel, 503, "Service Unavailable").await;
             };
             let Some(nonce) = asked.proved_nonce(key) else {
@@ -96,8 +96,9 @@
         }
     }
 
-    /// Lends nothing to an instance that has left: it waits for an answer less
-    /// long than this process was paused, and what it is lent stays spent.
+    /// Ends the connection without a loan because the borrower has closed it or
+    /// sent more. It timed out, for example while this process was suspended, and
+    /// tokens lent to it would stay spent.
     fn decline_departed(
         &self,
         organisation: &OrganisationId,
@@ -114,7 +115,7 @@
         Err(ChannelError::Closed)
     }
 
-    /// Turns a question away and ends the connection.
+    /// Rejects a request; the caller then drops the connection.
     async fn reject(
         &self,
         channel: &HttpChannel,
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Lends, after a wait for the store where that helps; a part only where
-    /// nothing more is to be had.
+    /// Lends tokens. If there are too few, waits for the store where that helps, and
+    /// lends a part of what is needed only if the wait brings no more.
     async fn lend(self: &Rc<Self>, organisation: &OrganisationId, ask: LoanAsk) -> LoanAnswer {
         let lend_whole = || {
             let now = self.clock.now();
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -1,4 +1,8 @@
-//! The instance's own row: it bounds what this boot can have spent.
+//! The instance's row of spending limits, which bounds what this boot can have
+//! spent.
+//!
+//! It holds one line for each organisation: the tokens that may have been spent
+//! as a function of the time since the row was written.
 
 use guavawell_core::grant::LineRow;
 use guavawell_fleet::event::EventDraft;
@@ -15,7 +19,7 @@
 use crate::store::WriteAnswer;
 
 impl BudgetManager {
-    /// Begins this boot in the instance's row, however long it takes.
+    /// Begins this boot in the instance's row; retries until it succeeds.
     pub(super) async fn start_boot(&self) {
         loop {
             if self.try_start_boot().await {
@@ -28,7 +32,7 @@
         }
     }
 
-    /// One try to begin this boot; true once the store has confirmed it.
+    /// Tries to begin this boot; true once the store has confirmed it.
     pub(super) async fn try_start_boot(&self) -> bool {
         if !self.read_lines().await {
             return false;
@@ -43,7 +47,7 @@
         self.store_lines(row).await && self.book.borrow().boot() > 0
     }
 
-    /// Logs what the boot before may have spent at most beyond its last word.
+    /// Logs the most that the previous boot can have spent, by its last row.
     fn log_previous_boot(&self) {
         let book = self.book.borrow();
         let Some((before, ended)) = book.former_lines() else {
@@ -62,7 +66,7 @@
         }
     }
 
-    /// Keeps the lines up to date.
+    /// Keeps the row of spending limits up to date.
     pub(super) async fn maintain_lines(&self) {
         loop {
             let wakeup = self.line_wakeup.listen();
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Writes the lines if they want writing; false if the store failed.
+    /// Writes the row if that is due; false if a call to the store failed.
     pub(super) async fn write_due_lines(&self) -> bool {
         if self.book.borrow().lines_unsure() && !self.read_lines().await {
             return false;
@@ -100,7 +104,10 @@
         let own = self.book.borrow_mut().saw_lines(state.version, row);
         self.changed.notify(usize::MAX);
         if !own {
-            log::error!("another boot of {} has taken its row over", self.instance);
+            log::error!(
+                "another process with instance id {} has written this instance's row",
+                self.instance
+            );
         }
         own
     }
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -1,5 +1,8 @@
-//! Carries the book of budgets out: reservations that wait for the store, and
-//! the writes that the book asks for.
+//! Token budgets of this instance.
+//!
+//! `guavawell_core::grant::GrantBook` decides without I/O what may be reserved
+//! and which rows must be written. This module makes the calls to the store and
+//! to other instances, and lets requests wait for their results.
 
 mod borrow;
 mod calls;
@@ -38,73 +41,73 @@
 pub use reserve::BudgetRefusal;
 pub use reserve::TokenReservation;
 
-/// Table of the rows that bound what instances can have spent.
+/// Table of the spending limits: one row an instance.
 const LINE_TABLE: &str = "guavawell_lines";
-/// Table of the organisations' budgets.
+/// Table of the organisations' budgets: one row an organisation.
 const BUDGET_TABLE: &str = "guavawell_budgets";
-/// Table of the instances, in its unnamed part.
+/// Table of the running instances; all its rows are in [`PEER_PART`].
 const PEER_TABLE: &str = "guavawell_instances";
-/// The part of [`PEER_TABLE`].
+/// Part of [`PEER_TABLE`] that holds the rows.
 const PEER_PART: &str = "";
-/// Key of the one row in each part of the other tables.
+/// Key of the single row in each part of the other tables.
 const ROW_KEY: &str = "row";
-/// Pause between looks at whether a row wants writing.
+/// Interval between checks whether the row of spending limits must be written.
 const LINE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between looks at whether a budget's row wants writing or reading.
+/// Interval between checks whether a budget's row must be written or read.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between questions for other instances' writes.
+/// Interval between polls for other instances' writes to budget rows.
 const POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(500);
-/// The same while an instance lacks tokens that another one may give back, so
-/// that they move while the request waits.
+/// Poll interval while an instance lacks tokens that another one may give back:
+/// short, so that the tokens arrive while the request still waits.
 const CONTENDED_POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(120);
-/// Further pause for each writer of a row, so that reading what all others
-/// write takes a bounded part of the processor.
+/// Added to [`POLL_INTERVAL`] for each writer of a row, so that reading all
+/// others' writes takes a bounded share of CPU time.
 const POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
-/// See [`POLL_INTERVAL_PER_WRITER`].
+/// Added to [`CONTENDED_POLL_INTERVAL`] for each writer of a row.
 const CONTENDED_POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
-/// Time from the start to the second look at the fleet's instances.
+/// Delay between the first and second read of the fleet's instances.
 const FIRST_PEER_REFRESH_DELAY: Duration = Duration::from_millis(400);
-/// Pause between looks at the fleet's instances.
+/// Interval between later reads of the fleet's instances.
 const PEER_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Spread of the first writes of a row for each of its writers: all of them
-/// start at one moment and would turn each other's writes down.
+/// Largest random delay of the first write of a row, for each of its writers:
+/// instances that start together would make each other's conditional writes fail.
 const START_JITTER_PER_WRITER: Duration = Duration::from_millis(8);
-/// Pause after a failed call to the store.
+/// Shortest delay before a failed call to the store is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The budgets of this process.
+/// The budgets of this process, and the tasks that keep their rows up to date.
 #[derive(Debug)]
 pub struct BudgetManager {
     clock: SteadyClock,
     log: EventLog,
     store: RowStore,
     instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     zone: ZoneId,
     /// The other instances.
     peers: Rc<PeerDesk>,
-    /// Requests that crash servers, which instances tell each other of.
+    /// Requests suspected of crashing servers; instances share them directly.
     poison: Rc<PoisonDesk>,
     book: RefCell<GrantBook>,
-    /// Something in the book changed for the better.
+    /// Notified when a change in the book may let a waiting reservation succeed.
     changed: Event,
-    /// The lines want writing.
+    /// Notified when the spending limits may have to be written.
     line_wakeup: Event,
-    /// Budgets' rows want writing.
+    /// Notified when budget rows may have to be written, or a budget is new.
     budget_wakeup: Event,
-    /// Usual time of the store's answers, in milliseconds.
+    /// Moving average of the store's response time, in milliseconds.
     mean_latency_ms: Cell<u64>,
-    /// The newest version that the store has told.
+    /// The newest row version in any of the store's answers.
     newest_version: Cell<u64>,
-    /// When the store began to fail, if it does.
+    /// Time of the first failed call since the last one that succeeded.
     failing_since: Cell<Option<ClockTime>>,
-    /// Calls that the store turned down for its rate since the last log line
-    /// about them, and when that was.
+    /// Number of calls that the store's rate limit rejected since the last event
+    /// about it, and the time of that event.
     rate_limited: Cell<(u64, Option<ClockTime>)>,
 }
 
 impl BudgetManager {
-    /// A manager that knows nothing yet.
+    /// Creates a manager with an empty book.
     #[must_use]
     pub fn new(
         member: FleetMember,
@@ -146,32 +149,34 @@
         &self.peers
     }
 
-    /// The configuration says what an organisation paid.
+    /// Sets the tokens that an organisation paid for, by a version of the
+    /// configuration.
     pub fn set_paid(&self, organisation: &OrganisationId, paid: u64, version: u64) {
         let mut book = self.book.borrow_mut();
         book.set_paid(organisation, paid, version);
         self.budget_wakeup.notify(usize::MAX);
     }
 
-    /// Whether every budget was read once.
+    /// Whether this boot has begun and every budget that it holds was read.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.book.borrow().is_open()
     }
 
-    /// Instances of the fleet that are reckoned with.
+    /// The number of instances in the fleet, as the book assumes it.
     #[must_use]
     pub fn instances(&self) -> usize {
         self.book.borrow().instances()
     }
 
-    /// Starts the tasks that write rows and talk to other instances.
+    /// Starts the tasks that read and write rows and call other instances.
     pub fn start(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         let manager = Rc::clone(self);
         let task_executor = Rc::clone(executor);
         let startup = async move {
-            // Who holds what is known first, so that a fleet that starts as a
-            // whole does not write a hundred entries into each row.
+            // The instances, and so the holders of each budget, are known before
+            // the first budget is written. Otherwise each instance of a fleet that
+            // starts as a whole would add an entry to every budget's row.
             manager.load_key().await;
             manager.register().await;
             while !manager.read_peers().await {
@@ -204,8 +209,7 @@
     }
 }
 
-/// A pause after a failure, spread so that instances do not come back at one
-/// moment.
+/// The delay before a retry, with jitter so that instances do not retry together.
 fn retry_delay() -> Duration {
     RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())
 }
--- a/crates/guavawell-forward/src/budget/peers.rs
+++ b/crates/guavawell-forward/src/budget/peers.rs
@@ -1,5 +1,5 @@
-//! The other instances of the fleet: how many there are, in which zones, and
-//! where they answer questions for tokens. Each writes its row once in a boot.
+//! The table of the fleet's instances, with their zones and peer addresses. Each
+//! instance writes its own row at start and when it leaves.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,16 +27,16 @@
 /// An instance's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PeerRow {
-    /// Where it answers other instances; `None` if it does not.
+    /// Address for other instances' requests; `None` if it takes none.
     pub(super) address: Option<SocketAddr>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub(super) zone: ZoneId,
 }
 
 impl BudgetManager {
-    /// Looks at the fleet for as long as the process lives.
+    /// Reads the table again and again, for as long as the process runs.
     pub(super) async fn maintain_peers(self: Rc<Self>) {
-        // A fleet that starts as a whole is complete after a moment.
+        // Instances that start at the same time have registered by then.
         Timer::after(FIRST_PEER_REFRESH_DELAY).await;
         loop {
             self.read_peers().await;
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Writes the own row, however long it takes.
+    /// Registers this instance in the table; retries until it succeeds.
     pub(super) async fn register(&self) {
         self.write_own_row(self.peers.own_address()).await;
     }
 
-    /// Tells the others that this process leaves: it is not to be asked for
-    /// tokens any more.
+    /// Removes the address from this instance's row, so that others stop asking it
+    /// for tokens: the process is leaving.
     pub async fn deregister(&self) {
         self.write_own_row(None).await;
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads which instances there are; false if the store failed.
+    /// Reads the table; false if the store failed.
     pub(super) async fn read_peers(&self) -> bool {
         match (self.store.table)(PEER_TABLE).await {
             Ok(rows) => {
@@ -110,7 +110,7 @@
             let value = state.value.as_deref().unwrap_or_default();
             let row = decode_row::<PeerRow>(value);
             let (Ok(instance), Ok(row)) = (key.parse::<InstanceId>(), row) else {
-                log::warn!("the row of instance `{key}` cannot be read");
+                log::warn!("cannot decode the row of instance `{key}`");
                 continue;
             };
             let Some(address) = row.address.filter(|_| instance != self.instance) else {
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -1,4 +1,4 @@
-//! Reservations: tokens set aside for a request, or the reason why not.
+//! Reservation of tokens for a request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,74 +16,77 @@
 use crate::clock::timer_span;
 use crate::refuse::RefusalAnswer;
 
-/// Least and most time that a request waits for the store's answer.
+/// Shortest limit on the time that a request waits for the store.
 const MIN_STORE_WAIT_MS: u64 = 150;
-/// See [`MIN_STORE_WAIT_MS`].
+/// Longest limit on the time that a request waits for the store.
 const MAX_STORE_WAIT_MS: u64 = 900;
-/// Answers of the store that a waiting request is given, as a multiple of
-/// their usual time: one for the grant, one for the line, one for a conflict.
+/// Time that a request waits for the store, as a multiple of the mean response
+/// time. It must cover a write of the grant, one of the spending limits, and a
+/// retry after a conflict.
 const STORE_WAIT_LATENCIES: u64 = 4;
-/// Longest lock that a request sits out at an instance that is cut off: about
-/// half of what callers expect until the first token.
+/// Longest wait until the spending limit unlocks a request's tokens by itself, also
+/// while the store does not answer: about half the time to the first token that
+/// callers expect.
 const MAX_LOCK_WAIT: ClockSpan = ClockSpan::from_millis(250);
-/// How long a request waits for tokens that another instance holds: one
-/// question of that instance and three answers of the store.
+/// Time that a request waits for tokens that another instance holds: one poll by
+/// that instance and three responses of the store.
 const PEER_TOKEN_WAIT: ClockSpan = ClockSpan::from_millis(350);
-/// Pause between looks at whether they came.
+/// Shortest interval between checks for these tokens.
 const RECHECK_INTERVAL: ClockSpan = ClockSpan::from_millis(50);
-/// How long a request waits for other instances' loans at most: two that do not
+/// Longest time that a request spends on borrowing: two instances that do not
 /// answer and one that does.
 const MAX_BORROW_TIME: ClockSpan = ClockSpan::from_millis(400);
-/// Retry-After where nothing tells when tokens will be there: about the time
-/// in which an instance brings its grants up to date.
+/// Retry-After where the time until tokens are available is unknown: about the
+/// time in which an instance updates its grants.
 const DEFAULT_RETRY_AFTER: ClockSpan = ClockSpan::from_millis(700);
-/// Retry-After at most, since a top-up may come at any time.
+/// Longest Retry-After: a top-up may arrive at any time.
 const MAX_RETRY_AFTER: ClockSpan = ClockSpan::from_millis(5_000);
-/// The shortest wait.
+/// Shortest pause between two attempts to reserve.
 const MIN_PAUSE: ClockSpan = ClockSpan::from_millis(1);
 
-/// Why a reservation was turned down.
+/// Why a reservation was refused.
 #[derive(Clone, Debug)]
 pub struct BudgetRefusal {
-    /// The answer for the caller.
+    /// The response for the caller.
     pub answer: RefusalAnswer,
-    /// What the book said last.
+    /// The book's last answer.
     pub cause: ReserveAnswer,
-    /// What it was decided by.
+    /// The figures that the decision rests on.
     pub facts: BudgetFacts,
     /// How long the request waited for tokens.
     pub waited: ClockSpan,
-    /// How long the store had failed to answer.
+    /// How long calls to the store had been failing.
     pub store_outage: ClockSpan,
 }
 
-/// Tokens that are set aside for one request.
+/// Tokens reserved for one request; dropping it settles them with the book.
 #[derive(Debug)]
 pub struct TokenReservation {
     manager: Rc<BudgetManager>,
     organisation: OrganisationId,
     reserved: u64,
-    /// Of these, tokens that other instances lent.
+    /// The part of `reserved` that was borrowed from other instances.
     borrowed: u64,
     spent: Cell<u64>,
 }
 
 impl TokenReservation {
-    /// Tokens set aside, and spent so far.
+    /// Tokens reserved, and tokens spent so far.
     #[must_use]
     pub fn tokens(&self) -> (u64, u64) {
         (self.reserved, self.spent.get())
     }
 
-    /// Tells what the request has spent in all so far, at most what was
-    /// reserved. What was spent before never becomes less: a second attempt
-    /// begins without the events that the first one delivered.
+    /// Records the tokens spent in total so far, capped at the reservation. The
+    /// recorded total never decreases: a second attempt starts counting again,
+    /// although the first one has already delivered events.
     pub fn spend(&self, tokens: TokenCount) {
         let spent = tokens.get().min(self.reserved);
         self.spent.set(self.spent.get().max(spent));
     }
 
-    /// The request spends nothing: it has not run, or brought its caller nothing.
+    /// Sets the spent tokens to zero, for a request that did not run or delivered
+    /// nothing to its caller.
     pub fn release(&self) {
         self.spent.set(0);
     }
@@ -97,7 +100,7 @@
     }
 }
 
-/// A request that waits for tokens.
+/// Counts tokens as demand in the book while a request waits for them.
 pub(super) struct DemandGuard<'a> {
     manager: &'a BudgetManager,
     organisation: &'a OrganisationId,
@@ -127,12 +130,12 @@
 }
 
 impl BudgetManager {
-    /// Sets the worst case of a request aside, and waits for the store where
-    /// that can help within `time_left`.
+    /// Reserves the worst-case cost of a request. Waits for the store or borrows
+    /// from other instances where that can succeed within `time_left`.
     ///
     /// # Errors
     ///
-    /// The refusal with which the caller is to be turned away.
+    /// The tokens cannot be reserved; the refusal holds the response for the caller.
     pub async fn reserve(
         self: &Rc<Self>,
         organisation: &OrganisationId,
@@ -184,12 +187,13 @@
         }
     }
 
-    /// Asks the holders for the tokens of a request; whether they lent them.
-    /// This instance holds tokens itself from now on if none of them answers.
+    /// Borrows the tokens of a request from the budget's holders; true if they
+    /// lent enough. If no holder answers, this instance becomes a holder itself
+    /// for a while.
     ///
     /// # Errors
     ///
-    /// The holders have too little.
+    /// The holders that answered have too few tokens.
     async fn borrow_from_holders(
         &self,
         organisation: &OrganisationId,
@@ -229,13 +233,13 @@
         }
     }
 
-    /// Whether this instance holds tokens of an organisation.
+    /// Whether this instance is a holder of an organisation's budget.
     fn holds_tokens(&self, organisation: &OrganisationId) -> bool {
         let now = self.clock.now();
         self.book.borrow().is_holder(organisation, now)
     }
 
-    /// Holds tokens in place of holders that do not answer.
+    /// Makes this instance a holder in place of holders that do not answer.
     fn stand_in(&self, organisation: &OrganisationId) {
         let now = self.clock.now();
         self.book.borrow_mut().stand_in(organisation, now);
@@ -248,8 +252,9 @@
         book.reserve(organisation, tokens, now)
     }
 
-    /// Whether other instances are to be asked: before waiting where the store
-    /// has nothing to grant, otherwise before the request is turned away.
+    /// Whether to borrow from other instances now: at once if the row has too few
+    /// tokens left to grant or the store is out of reach, otherwise only before the
+    /// request would be refused.
     fn should_borrow(
         &self,
         answer: ReserveAnswer,
@@ -282,14 +287,15 @@
         }
     }
 
-    /// How long a request waits for the store.
+    /// The limit on the time that a request waits for the store.
     fn store_wait(&self, time_left: ClockSpan) -> ClockSpan {
         let usual = self.mean_latency_ms.get() * STORE_WAIT_LATENCIES;
         let most = usual.clamp(MIN_STORE_WAIT_MS, MAX_STORE_WAIT_MS);
         ClockSpan::from_millis(most).min(max_wait(time_left))
     }
 
-    /// How long to wait before asking again.
+    /// The pause before the next attempt to reserve, or the refusal if waiting
+    /// longer does not help.
     fn pause(
         &self,
         answer: ReserveAnswer,
@@ -321,13 +327,14 @@
         }
     }
 
-    /// Has rows written for what waits.
+    /// Wakes the tasks that write rows, because a request waits for tokens.
     pub(super) fn wake_writers(&self) {
         self.budget_wakeup.notify(usize::MAX);
         self.line_wakeup.notify(usize::MAX);
     }
 
-    /// Whether the store has failed for longer than a request would wait.
+    /// Whether calls to the store have failed for at least the shortest time that a
+    /// request waits for it.
     pub(super) fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
         let threshold = ClockSpan::from_millis(MIN_STORE_WAIT_MS);
@@ -336,13 +343,13 @@
     }
 }
 
-/// The refusal where waiting does not help.
+/// The refusal for a cause that waiting does not remove.
 fn refusal_without_wait(cause: ReserveAnswer) -> RefusalAnswer {
     match cause {
         ReserveAnswer::Exhausted => {
             RefusalAnswer::new(ForwardRefusal::BudgetExhausted).after(MAX_RETRY_AFTER)
         }
-        // Only a top-up helps.
+        // Only a top-up unfreezes the budget.
         ReserveAnswer::Frozen => {
             RefusalAnswer::new(ForwardRefusal::BudgetUnavailable).after(MAX_RETRY_AFTER)
         }
@@ -350,12 +357,13 @@
     }
 }
 
-/// A request that others overtake at the line waits no longer than this.
+/// The longest total wait for the spending limit: other requests may take the
+/// tokens that it unlocks meanwhile.
 fn lock_wait(store_wait: ClockSpan) -> ClockSpan {
     store_wait.max(MAX_LOCK_WAIT)
 }
 
-/// The part of a request's time that may go into waiting for tokens.
+/// The share of a request's remaining time that it may wait for tokens.
 fn max_wait(time_left: ClockSpan) -> ClockSpan {
     ClockSpan::from_millis(time_left.as_millis() / 3)
 }
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -1,4 +1,4 @@
-//! The organisations' rows: what each instance holds of a budget.
+//! The budget rows: the tokens of an organisation that each instance holds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -33,38 +33,38 @@
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-/// Times that a row is written again after it changed meanwhile.
+/// Attempts to write a row that other instances change meanwhile.
 const MAX_WRITE_ATTEMPTS: usize = 5;
 
-/// Pause for a write of the same row that is on its way.
+/// Interval between checks whether a pending write of the same row has ended.
 const PENDING_WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// How a write of a budget's row ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteOutcome {
     Written,
-    /// The row has changed meanwhile.
+    /// Another instance changed the row first.
     Changed,
-    /// The store turned the write down for its rate.
+    /// The store's rate limit rejected the write.
     RateLimited,
     Failed,
 }
 
-/// What keeping a row came to.
+/// How an update of a budget's row ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpdateOutcome {
-    /// A row was written that the present state asked for.
+    /// The row was written.
     Written,
-    /// The row needs nothing.
+    /// No write was due.
     NothingDue,
-    /// The store turned a write down for its rate.
+    /// The store's rate limit rejected a write.
     RateLimited,
-    /// The store failed, or others wrote the row again and again.
+    /// A call to the store failed, or every attempt met another instance's write.
     Failed,
 }
 
 impl BudgetManager {
-    /// Starts a task for each budget as it becomes known.
+    /// Starts a task for each budget once it is known.
     pub(super) async fn spawn_budget_tasks(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         let mut watched: Vec<OrganisationId> = Vec::new();
         loop {
@@ -83,8 +83,11 @@
         }
     }
 
-    /// Follows what other instances write, so that this one knows their needs
-    /// and seldom writes in vain.
+    /// Polls for other instances' writes, so that this one knows their shortages
+    /// and its own conditional writes seldom fail.
+    ///
+    /// Where answers are slow, only the changes of a window before each poll are
+    /// read; see `FollowWindow`.
     pub(super) async fn poll_changes(&self) {
         let mut window = FollowWindow::new(FollowSettings::default());
         let mut since = self.newest_version.get();
@@ -108,7 +111,7 @@
                     self.apply_changes(&changes);
                 }
                 Err(StoreFault::HistoryGone) => {
-                    // What was missed shows when a write is turned down.
+                    // The skipped changes are read when a conditional write fails.
                     since = self.newest_version.get();
                 }
                 Err(fault) => {
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Time between two questions for other instances' writes.
+    /// Time between two polls for other instances' writes.
     fn poll_interval(&self) -> ClockSpan {
         let contended = self.book.borrow().is_contended(self.clock.now());
         let (base, each) = if contended {
@@ -131,8 +134,8 @@
         ClockSpan::from_millis(base.as_millis() + each.as_millis() * writers)
     }
 
-    /// The store's newest version, asked for with a small question if no other
-    /// answer has told one after `since`.
+    /// The store's newest version. Reads one small row to learn it, unless an
+    /// earlier answer already named a version after `since`.
     async fn newest_version_after(&self, since: u64) -> u64 {
         if self.newest_version.get() <= since {
             self.read_row("newest", self.line_key()).await;
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Keeps one budget's row up to date.
+    /// Keeps one budget's row up to date, for as long as the process runs.
     async fn maintain_budget(&self, id: &OrganisationId) {
         let writers = u32::try_from(self.book.borrow().row_writers()).unwrap_or(u32::MAX);
         let spread = START_JITTER_PER_WRITER * writers;
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Brings one budget's row up to date.
+    /// Reads the budget's row if its state is unknown, and writes it if that is due.
     async fn update_budget(&self, id: &OrganisationId) -> UpdateOutcome {
         if !self.book.borrow().tends(id, self.clock.now()) {
             return UpdateOutcome::NothingDue;
@@ -276,13 +279,13 @@
         self.log.emit(draft);
     }
 
-    /// Gives every grant back: the process is about to end.
+    /// Gives all grants back before the process ends.
     pub async fn give_back(&self) {
         self.book.borrow_mut().leave();
         let ids: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
         for id in ids {
             for _ in 0..MAX_WRITE_ATTEMPTS {
-                // A write of the keeping task may still be on its way.
+                // The budget's own task may still be writing the row.
                 if self.book.borrow().budget_writing(&id) {
                     Timer::after(PENDING_WRITE_CHECK_INTERVAL).await;
                     continue;
--- a/crates/guavawell-forward/src/budget/suspects.rs
+++ b/crates/guavawell-forward/src/budget/suspects.rs
@@ -1,4 +1,4 @@
-//! Tells other instances directly which requests crash servers.
+//! Sends suspicions of requests that crash servers directly to other instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 use super::BudgetManager;
 use crate::peer::PeerQuestion;
 
-/// Longest wait for another instance to take it in. One that does not reads it
-/// from the store.
+/// Timeout of a broadcast to one instance. An instance that misses it reads the
+/// suspicions from the store.
 const BROADCAST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Instances up to which every crash is told to all of them. In a larger fleet
-/// each server's crash would make a thousand messages, and the store's rows
-/// carry first crashes as fast.
+/// Number of other instances below which every crash is broadcast. In a larger
+/// fleet each server crash would cause a thousand messages, and first crashes
+/// spread as fast through the store.
 const SMALL_FLEET_PEERS: usize = 16;
-/// Crashes in a row that are told to all instances of any fleet.
+/// Consecutive crashes from which a suspicion is broadcast in any fleet.
 const URGENT_CRASHES: u8 = 2;
 
 impl BudgetManager {
-    /// Tells others for as long as the process lives.
+    /// Broadcasts new suspicions for as long as the process runs.
     pub(super) async fn broadcast_suspects(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         loop {
             let mut entries = self.poison.next_news().await;
@@ -53,7 +53,7 @@
         let sent = self.peers.ask(address, &question, BROADCAST_TIMEOUT);
         if let Err(error) = sent.await {
             metrics::counter!("guavawell_forward_suspects_untold_total").increment(1);
-            log::debug!("{address} was not told of suspects: {error}");
+            log::debug!("sending suspects to {address} failed: {error}");
         }
     }
 }
