--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -4,7 +4,7 @@
 //! folder keeps the configuration itself and what the store holds of it, and asks
 //! other instances while the store does not answer.
 
-mod others;
+mod peer_query;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,11 +27,11 @@
 use crate::clock::wait_due;
 use crate::clock::wait_while;
 
-pub use self::others::ask_others;
+pub use self::peer_query::query_peers;
 
 /// How long after another instance spoke of a newer version the store may take
 /// to tell it: in a calm fleet all know a change within milliseconds.
-const HEARD_PATIENCE: ClockSpan = ClockSpan::from_millis(300);
+const NEWER_VERSION_GRACE: ClockSpan = ClockSpan::from_millis(300);
 
 /// Decodes a configuration as the platform's store holds it; the text says what
 /// cannot be read.
@@ -39,7 +39,7 @@
 
 /// What an answer of the store tells of the configuration.
 #[derive(Clone, Copy, Debug)]
-pub enum ConfigTold<'a> {
+pub enum FetchedConfig<'a> {
     /// The row's bytes and its revision.
     Row(&'a [u8], u64),
     /// Why the row of this revision cannot be read.
@@ -50,7 +50,7 @@
 
 /// What an instance tells another one of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigAnswer {
+pub struct PeerConfig {
     /// The version that the store told it last.
     pub version: u64,
     /// How long ago that was surely the newest.
@@ -61,13 +61,13 @@
 
 /// A configuration that the store told.
 #[derive(Clone, Debug)]
-struct StoredConfig {
+struct CachedConfig {
     config: Rc<ForwardConfig>,
     bytes: Box<[u8]>,
 }
 
 /// The configuration of one process.
-pub struct ConfigDesk {
+pub struct ConfigTracker {
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
@@ -75,20 +75,20 @@
     /// What is in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// What the store told last.
-    stored: RefCell<Option<StoredConfig>>,
+    stored: RefCell<Option<CachedConfig>>,
     /// Age beyond which an answer of the store is overdue.
     overdue_after: ClockSpan,
     /// Time from a question until it counts as failed.
-    late_after: ClockSpan,
+    fetch_timeout: ClockSpan,
     /// The store answered.
-    answered: Event,
+    store_answered: Event,
     /// Since when a question to the store has no answer when it should, or
     /// another instance speaks of a newer version.
-    doubted_since: Cell<Option<ClockTime>>,
-    doubted: Event,
+    query_due_at: Cell<Option<ClockTime>>,
+    query_wakeup: Event,
 }
 
-impl ConfigDesk {
+impl ConfigTracker {
     /// A desk that knows no configuration yet.
     #[must_use]
     pub fn new(
@@ -99,10 +99,10 @@
     ) -> Self {
         Self {
             overdue_after: pace.overdue_after(0),
-            late_after: pace.late_after(),
-            answered: Event::new(),
-            doubted_since: Cell::new(None),
-            doubted: Event::new(),
+            fetch_timeout: pace.late_after(),
+            store_answered: Event::new(),
+            query_due_at: Cell::new(None),
+            query_wakeup: Event::new(),
             clock,
             log,
             decode,
@@ -146,10 +146,10 @@
         belief.age().is_awaited(self.overdue_after, now)
     }
 
-    /// Waits for an answer of the store that is overdue, for `patience` at most.
-    pub async fn await_check(&self, patience: ClockSpan) {
+    /// Waits for an answer of the store that is overdue, for `max_wait` at most.
+    pub async fn await_check(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
-        if !wait_while(&self.clock, &self.answered, patience, awaited).await {
+        if !wait_while(&self.clock, &self.store_answered, max_wait, awaited).await {
             self.belief.borrow_mut().age_mut().waited_in_vain();
         }
     }
@@ -162,37 +162,41 @@
         }
     }
 
-    /// The store answered a question sent at `asked`. Returns the configuration
+    /// The store answered a question sent at `sent_at`. Returns the configuration
     /// that it told, if that could be read.
-    pub fn store_told(&self, told: ConfigTold<'_>, asked: ClockTime) -> Option<Rc<ForwardConfig>> {
+    pub fn store_told(
+        &self,
+        fetched: FetchedConfig<'_>,
+        sent_at: ClockTime,
+    ) -> Option<Rc<ForwardConfig>> {
         let now = self.clock.boot_now();
-        self.doubted_since.set(None);
-        let (bytes, revision) = match told {
-            ConfigTold::Row(bytes, revision) => (bytes, revision),
-            ConfigTold::Unreadable(error, revision) => {
-                self.unreadable(error, revision);
+        self.query_due_at.set(None);
+        let (bytes, revision) = match fetched {
+            FetchedConfig::Row(bytes, revision) => (bytes, revision),
+            FetchedConfig::Unreadable(error, revision) => {
+                self.record_unreadable(error, revision);
                 return None;
             }
-            ConfigTold::Unchanged => {
-                let step = self.belief.borrow_mut().store_unchanged(asked, now);
-                self.carry_out(step, None, asked, now);
+            FetchedConfig::Unchanged => {
+                let step = self.belief.borrow_mut().store_unchanged(sent_at, now);
+                self.apply_step(step, None, sent_at, now);
                 return None;
             }
         };
-        let read = self.read(bytes);
+        let read = self.decode_cached(bytes);
         let config = read
-            .inspect_err(|error| self.unreadable(error, revision))
+            .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
         let mut belief = self.belief.borrow_mut();
-        let step = belief.store_told(config.version, revision, asked, now);
+        let step = belief.store_told(config.version, revision, sent_at, now);
         drop(belief);
-        self.store(&config, bytes);
-        self.carry_out(step, Some(&config), asked, now);
+        self.cache_stored(&config, bytes);
+        self.apply_step(step, Some(&config), sent_at, now);
         Some(config)
     }
 
     /// What is in force stays, and is known not to be the newest.
-    fn unreadable(&self, error: &str, revision: u64) {
+    fn record_unreadable(&self, error: &str, revision: u64) {
         self.belief.borrow_mut().store_unreadable(revision);
         let draft = EventDraft::new("config.unreadable")
             .field("row", revision)
@@ -200,41 +204,43 @@
         self.log.emit(draft);
     }
 
-    /// The store did not answer a question sent at `asked` when it should.
-    pub fn unanswered(&self, asked: ClockTime) {
+    /// The store did not answer a question sent at `sent_at` when it should.
+    pub fn unanswered(&self, sent_at: ClockTime) {
         let now = self.clock.boot_now();
         let mut belief = self.belief.borrow_mut();
-        belief.age_mut().unanswered(asked, self.late_after, now);
+        belief
+            .age_mut()
+            .unanswered(sent_at, self.fetch_timeout, now);
         drop(belief);
-        self.doubt(ClockSpan::ZERO);
+        self.schedule_query(ClockSpan::ZERO);
     }
 
     /// Another instance speaks of a version.
-    pub fn heard(&self, version: u64) {
+    pub fn observe_version(&self, version: u64) {
         if self.belief.borrow().is_behind(version) {
-            self.doubt(HEARD_PATIENCE);
+            self.schedule_query(NEWER_VERSION_GRACE);
         }
     }
 
-    /// Has others asked after `patience`, unless the store answers by then.
-    fn doubt(&self, patience: ClockSpan) {
-        let at = self.clock.now() + patience;
-        let before = self.doubted_since.get();
-        self.doubted_since
-            .set(Some(before.map_or(at, |since| since.min(at))));
-        self.doubted.notify(usize::MAX);
+    /// Has others asked after `delay`, unless the store answers by then.
+    fn schedule_query(&self, delay: ClockSpan) {
+        let at = self.clock.now() + delay;
+        let before = self.query_due_at.get();
+        self.query_due_at
+            .set(Some(before.map_or(at, |due| due.min(at))));
+        self.query_wakeup.notify(usize::MAX);
     }
 
     /// Waits until others are to be asked.
-    pub async fn wait_doubted(&self) {
-        let since = || self.doubted_since.get();
-        wait_due(&self.clock, &self.doubted, since).await;
+    pub async fn wait_query_due(&self) {
+        let due = || self.query_due_at.get();
+        wait_due(&self.clock, &self.query_wakeup, due).await;
     }
 
     /// What this instance tells another one that knows a version: only what the
     /// store told this process, so that a false version goes no further.
     #[must_use]
-    pub fn tell(&self, known: u64) -> Option<ConfigAnswer> {
+    pub fn answer_peer(&self, known: u64) -> Option<PeerConfig> {
         let belief = self.belief.borrow();
         let version = belief.proved_version()?;
         let age = belief.age().at(self.clock.boot_now())?;
@@ -243,47 +249,51 @@
             .as_ref()
             .filter(|held| held.config.version == version);
         let bytes = stored.filter(|_| version > known);
-        Some(ConfigAnswer {
+        Some(PeerConfig {
             version,
             age,
             bytes: bytes.map_or(Vec::new(), |held| held.bytes.to_vec()),
         })
     }
 
-    /// Another instance answered a question sent at `asked`; whether it put a
+    /// Another instance answered a question sent at `sent_at`; whether it put a
     /// configuration into force.
     ///
     /// # Errors
     ///
     /// It told something that cannot be what the store holds.
-    pub fn instance_told(&self, told: &ConfigAnswer, asked: ClockTime) -> Result<bool, Box<str>> {
+    pub fn apply_peer_config(
+        &self,
+        answer: &PeerConfig,
+        sent_at: ClockTime,
+    ) -> Result<bool, Box<str>> {
         let now = self.clock.boot_now();
-        if told.bytes.is_empty() {
+        if answer.bytes.is_empty() {
             let mut belief = self.belief.borrow_mut();
-            if !belief.is_behind(told.version) {
-                belief.instance_told(told.version, told.age, asked, now);
+            if !belief.is_behind(answer.version) {
+                belief.instance_told(answer.version, answer.age, sent_at, now);
             }
             return Ok(false);
         }
-        let config = Rc::new((self.decode)(&told.bytes)?);
-        if config.version != told.version {
-            let (named, held) = (told.version, config.version);
+        let config = Rc::new((self.decode)(&answer.bytes)?);
+        if config.version != answer.version {
+            let (named, held) = (answer.version, config.version);
             return Err(format!("it was named {named} and is {held}").into());
         }
         let mut belief = self.belief.borrow_mut();
-        let step = belief.instance_told(told.version, told.age, asked, now);
+        let step = belief.instance_told(answer.version, answer.age, sent_at, now);
         drop(belief);
         if step != BeliefStep::Take {
             return Ok(false);
         }
-        let asked_ago = now.since(asked).as_millis();
-        let age = ClockSpan::from_millis(told.age.as_millis() + asked_ago);
-        self.put_in_force(&config, ConfigSource::Instance, age);
+        let response_ms = now.since(sent_at).as_millis();
+        let age = ClockSpan::from_millis(answer.age.as_millis() + response_ms);
+        self.activate(&config, ConfigSource::Instance, age);
         Ok(true)
     }
 
     /// Decodes a row, unless it is the one that is held already.
-    fn read(&self, bytes: &[u8]) -> Result<Rc<ForwardConfig>, Box<str>> {
+    fn decode_cached(&self, bytes: &[u8]) -> Result<Rc<ForwardConfig>, Box<str>> {
         let stored = self.stored.borrow();
         match stored.as_ref().filter(|stored| *stored.bytes == *bytes) {
             Some(stored) => Ok(Rc::clone(&stored.config)),
@@ -291,11 +301,11 @@
         }
     }
 
-    fn store(&self, config: &Rc<ForwardConfig>, bytes: &[u8]) {
+    fn cache_stored(&self, config: &Rc<ForwardConfig>, bytes: &[u8]) {
         let mut stored = self.stored.borrow_mut();
-        let newer = |held: &StoredConfig| held.config.version >= config.version;
+        let newer = |held: &CachedConfig| held.config.version >= config.version;
         if !stored.as_ref().is_some_and(newer) {
-            *stored = Some(StoredConfig {
+            *stored = Some(CachedConfig {
                 config: Rc::clone(config),
                 bytes: bytes.into(),
             });
@@ -303,24 +313,24 @@
     }
 
     /// Does what follows from an answer of the store.
-    fn carry_out(
+    fn apply_step(
         &self,
         step: BeliefStep,
-        told: Option<&Rc<ForwardConfig>>,
-        asked: ClockTime,
+        fetched: Option<&Rc<ForwardConfig>>,
+        sent_at: ClockTime,
         now: ClockTime,
     ) {
-        self.answered.notify(usize::MAX);
-        match (step, told) {
+        self.store_answered.notify(usize::MAX);
+        match (step, fetched) {
             (BeliefStep::Take, Some(config)) => {
-                self.put_in_force(config, ConfigSource::Store, now.since(asked));
+                self.activate(config, ConfigSource::Store, now.since(sent_at));
             }
-            (BeliefStep::Disown, _) => self.disown(),
+            (BeliefStep::Disown, _) => self.roll_back(),
             _ => {}
         }
     }
 
-    fn put_in_force(&self, config: &Rc<ForwardConfig>, source: ConfigSource, age: ClockSpan) {
+    fn activate(&self, config: &Rc<ForwardConfig>, source: ConfigSource, age: ClockSpan) {
         let before = self.current.replace(Some(Rc::clone(config)));
         let draft = EventDraft::new("config.in_force")
             .field("version", config.version)
@@ -333,19 +343,19 @@
     }
 
     /// Goes back to what the store told last.
-    fn disown(&self) {
+    fn roll_back(&self) {
         let stored = self.stored.borrow();
-        let instead = stored.as_ref().map(|stored| Rc::clone(&stored.config));
+        let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
         let version = |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |held| held.version);
-        let before = self.current.replace(instead.clone());
+        let before = self.current.replace(replacement.clone());
         let draft = EventDraft::new("config.disowned")
             .field("version", version(before.as_ref()))
-            .field("instead", version(instead.as_ref()));
+            .field("instead", version(replacement.as_ref()));
         self.log.emit(draft);
     }
 }
 
-impl fmt::Debug for ConfigDesk {
+impl fmt::Debug for ConfigTracker {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("ConfigDesk")
     }
--- a/crates/guavawell-forward/src/config/others.rs
+++ b/crates/guavawell-forward/src/config/peer_query.rs
@@ -14,42 +14,42 @@
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
-use super::ConfigAnswer;
+use super::PeerConfig;
 use crate::clock::timer_span;
 use crate::http::OpenTries;
 use crate::peer::PeerError;
 use crate::router::ForwardRouter;
 
 /// Instances that are asked in a round.
-const ROUND: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 /// Wait for an instance's answer until the next one is asked beside it.
-const PATIENCE: Duration = Duration::from_millis(150);
+const HEDGE_DELAY: Duration = Duration::from_millis(150);
 /// Longest wait for the head of an answer.
-const HEAD_LIMIT: Duration = Duration::from_secs(1);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Doublings of the pause between rounds in which nobody was in touch with the
 /// store.
-const MAX_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// What another instance told.
-struct ToldConfig {
+/// What another instance received.
+struct ReceivedConfig {
     instance: InstanceId,
-    asked: ClockTime,
-    answer: ConfigAnswer,
+    sent_at: ClockTime,
+    answer: PeerConfig,
 }
 
 /// Asks others for as long as the process lives, whenever the store does not
 /// answer.
-pub async fn ask_others(router: Rc<ForwardRouter>) {
-    let wait = router.settings.times.config.wait;
-    let mut vain = 0;
+pub async fn query_peers(router: Rc<ForwardRouter>) {
+    let interval = router.settings.times.config.wait;
+    let mut failed_rounds = 0;
     loop {
-        router.configs.wait_doubted().await;
-        vain = if ask_round(&router).await {
+        router.configs.wait_query_due().await;
+        failed_rounds = if query_round(&router).await {
             0
         } else {
-            vain + 1
+            failed_rounds + 1
         };
-        let pause = timer_span(wait) * 2_u32.pow(vain.min(MAX_DOUBLINGS));
+        let pause = timer_span(interval) * 2_u32.pow(failed_rounds.min(MAX_BACKOFF_DOUBLINGS));
         // Spread, so that instances which lost the store together do not ask at
         // one moment.
         Timer::after(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
@@ -57,54 +57,57 @@
 }
 
 /// Asks a few others, until one is in touch with the store; whether one was.
-async fn ask_round(router: &ForwardRouter) -> bool {
-    let mut others = router.peers.shuffled_addresses();
-    if others.is_empty() || router.peers.key().is_none() {
+async fn query_round(router: &ForwardRouter) -> bool {
+    let mut peers = router.peers.shuffled_addresses();
+    if peers.is_empty() || router.peers.key().is_none() {
         return false;
     }
-    others.truncate(ROUND);
-    let mut tries = OpenTries::new(ROUND);
-    for (instance, address) in others {
-        let next = Box::pin(ask(router, instance, address));
-        if let Some(Ok(told)) = tries.first_answer(next, PATIENCE).await
-            && take(router, &told)
+    peers.truncate(PEERS_PER_ROUND);
+    let mut tries = OpenTries::new(PEERS_PER_ROUND);
+    for (instance, address) in peers {
+        let next = Box::pin(query_peer(router, instance, address));
+        if let Some(Ok(received)) = tries.first_answer(next, HEDGE_DELAY).await
+            && apply_received(router, &received)
         {
             return true;
         }
     }
     // Late answers.
-    matches!(tries.next_answer(HEAD_LIMIT).await, Some(Ok(told)) if take(router, &told))
+    matches!(tries.next_answer(HEAD_TIMEOUT).await, Some(Ok(received)) if apply_received(router, &received))
 }
 
-async fn ask(
+async fn query_peer(
     router: &ForwardRouter,
     instance: InstanceId,
     address: SocketAddr,
-) -> Result<ToldConfig, PeerError> {
-    let asked = router.clock.boot_now();
+) -> Result<ReceivedConfig, PeerError> {
+    let sent_at = router.clock.boot_now();
     let known = router.configs.version();
-    let answer = router.peers.ask_config(address, known, HEAD_LIMIT).await?;
-    Ok(ToldConfig {
+    let answer = router
+        .peers
+        .ask_config(address, known, HEAD_TIMEOUT)
+        .await?;
+    Ok(ReceivedConfig {
         instance,
-        asked,
+        sent_at,
         answer,
     })
 }
 
-/// Takes in what an instance told; whether it is in touch with the store.
-fn take(router: &ForwardRouter, told: &ToldConfig) -> bool {
-    let answer = &told.answer;
-    match router.configs.instance_told(answer, told.asked) {
+/// Takes in what an instance received; whether it is in touch with the store.
+fn apply_received(router: &ForwardRouter, received: &ReceivedConfig) -> bool {
+    let answer = &received.answer;
+    match router.configs.apply_peer_config(answer, received.sent_at) {
         Ok(in_force) => {
             if in_force {
                 router.config_changed();
             }
-            let overdue = router.settings.times.config.overdue_after(0);
-            answer.age <= overdue
+            let overdue_after = router.settings.times.config.overdue_after(0);
+            answer.age <= overdue_after
         }
         Err(error) => {
             let draft = EventDraft::new("config.untrusted")
-                .field("from", &told.instance)
+                .field("from", &received.instance)
                 .field("version", answer.version)
                 .field("error", error);
             router.log.emit(draft);
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -24,8 +24,8 @@
 use self::question::read_config;
 use self::question::write_config;
 use crate::clock::SteadyClock;
-use crate::config::ConfigAnswer;
-use crate::config::ConfigDesk;
+use crate::config::ConfigTracker;
+use crate::config::PeerConfig;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 
@@ -102,7 +102,7 @@
     /// What proves to other instances that this one is of the fleet.
     key: Cell<Option<FleetKey>>,
     /// The configuration, whose version goes with every message.
-    configs: Rc<ConfigDesk>,
+    configs: Rc<ConfigTracker>,
 }
 
 impl PeerDesk {
@@ -112,7 +112,7 @@
         clock: SteadyClock,
         own_zone: ZoneId,
         own_address: Option<SocketAddr>,
-        configs: Rc<ConfigDesk>,
+        configs: Rc<ConfigTracker>,
     ) -> Self {
         Self {
             own_zone,
@@ -191,7 +191,7 @@
         address: SocketAddr,
         known: u64,
         limit: Duration,
-    ) -> Result<ConfigAnswer, PeerError> {
+    ) -> Result<PeerConfig, PeerError> {
         let question = PeerQuestion::Config(known);
         let answer = self.ask(address, &question, limit).await?;
         read_config(&answer.head, answer.body).ok_or(PeerError::NoConfig)
@@ -199,7 +199,7 @@
 
     /// Answers a question for the configuration; returns the answer's body.
     pub(crate) fn tell_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
-        let Some(answer) = self.configs.tell(known) else {
+        let Some(answer) = self.configs.answer_peer(known) else {
             return Vec::new();
         };
         write_config(writer, &answer);
@@ -209,7 +209,7 @@
     /// A message named the version in force at another instance.
     pub(crate) fn hear_version(&self, text: Option<&str>) {
         if let Some(version) = text.and_then(|text| text.parse().ok()) {
-            self.configs.heard(version);
+            self.configs.observe_version(version);
         }
     }
 
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -14,7 +14,7 @@
 use guavawell_core::poison::SuspicionList;
 
 use super::FleetKey;
-use crate::config::ConfigAnswer;
+use crate::config::PeerConfig;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
@@ -165,16 +165,16 @@
 }
 
 /// Writes what is told of the configuration.
-pub(crate) fn write_config(writer: &mut HeadWriter, answer: &ConfigAnswer) {
+pub(crate) fn write_config(writer: &mut HeadWriter, answer: &PeerConfig) {
     writer.field_of(STORED_FIELD, answer.version);
     writer.field_of(AGE_FIELD, answer.age.as_millis());
 }
 
 /// Reads what is told of the configuration.
-pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<ConfigAnswer> {
+pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<PeerConfig> {
     let version = head.fields.get(STORED_FIELD)?.parse().ok()?;
     let age = head.fields.get(AGE_FIELD)?.parse().ok()?;
-    Some(ConfigAnswer {
+    Some(PeerConfig {
         version,
         age: ClockSpan::from_millis(age),
         bytes: body,
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -25,8 +25,8 @@
 use crate::budget::BudgetManager;
 use crate::clock::SteadyClock;
 use crate::clock::wait_while;
-use crate::config::ConfigDesk;
-use crate::config::ConfigTold;
+use crate::config::ConfigTracker;
+use crate::config::FetchedConfig;
 use crate::crash::CrashChecks;
 use crate::peer::PeerDesk;
 use crate::poison::PoisonDesk;
@@ -54,7 +54,7 @@
     /// Its log.
     pub log: EventLog,
     /// The configuration in force here.
-    pub configs: Rc<ConfigDesk>,
+    pub configs: Rc<ConfigTracker>,
     /// Known backend servers.
     pub servers: RefCell<ServerTable>,
     /// A server started again under its id.
@@ -102,7 +102,7 @@
         settings: ForwardSettings,
         clock: SteadyClock,
         log: EventLog,
-        configs: Rc<ConfigDesk>,
+        configs: Rc<ConfigTracker>,
         budgets: Rc<BudgetManager>,
         poison: Rc<PoisonDesk>,
     ) -> Self {
@@ -134,7 +134,7 @@
     }
 
     /// The store answered a question about the configuration sent at `asked`.
-    pub fn config_told(&self, told: ConfigTold<'_>, asked: ClockTime) {
+    pub fn config_told(&self, told: FetchedConfig<'_>, asked: ClockTime) {
         let Some(config) = self.configs.store_told(told, asked) else {
             return;
         };
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -21,8 +21,8 @@
 use guavawell_fleet::event::EventLog;
 use guavawell_forward::budget::BudgetManager;
 use guavawell_forward::clock::SteadyClock;
-use guavawell_forward::config::ConfigDesk;
-use guavawell_forward::config::ConfigTold;
+use guavawell_forward::config::ConfigTracker;
+use guavawell_forward::config::FetchedConfig;
 use guavawell_forward::names::FieldNames;
 use guavawell_forward::peer::PeerDesk;
 use guavawell_forward::poison::PoisonDesk;
@@ -76,7 +76,7 @@
     ));
     let own = Rc::clone(&poison);
     let decode = Box::new(|_: &[u8]| Ok(config()));
-    let configs = Rc::new(ConfigDesk::new(
+    let configs = Rc::new(ConfigTracker::new(
         TimeSettings::default().config,
         clock,
         log.clone(),
@@ -122,7 +122,7 @@
     block_on(async {
         let mut first = Box::pin(router.wait_informed());
         assert!(poll_once(&mut first).await.is_none());
-        let told = ConfigTold::Row(b"the first", 1);
+        let told = FetchedConfig::Row(b"the first", 1);
         router.config_told(told, router.clock.boot_now());
         assert!(
             poll_once(&mut first).await.is_none(),
