--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration in force at this instance, and how old it may be.
 //!
-//! `guavawell_core::forward::ConfigBelief` decides what comes into force; this
-//! folder keeps the configuration itself and what the store holds of it, and asks
+//! `guavawell_core::forward::ConfigBelief` decides which version comes into force.
+//! This module holds the configurations themselves, and fetches newer ones from
 //! other instances while the store does not answer.
 
 mod peer_query;
@@ -29,67 +29,69 @@
 
 pub use self::peer_query::query_peers;
 
-/// How long after another instance spoke of a newer version the store may take
-/// to tell it: in a calm fleet all know a change within milliseconds.
+/// Time after which a newer version named by another instance is fetched from
+/// other instances, unless the store answers first. Normally a change reaches all
+/// instances within milliseconds.
 const NEWER_VERSION_GRACE: ClockSpan = ClockSpan::from_millis(300);
 
-/// Decodes a configuration as the platform's store holds it; the text says what
-/// cannot be read.
+/// Decodes a configuration row of the store; the error text names the invalid part.
 pub type ConfigDecoder = Box<dyn Fn(&[u8]) -> Result<ForwardConfig, Box<str>>>;
 
-/// What an answer of the store tells of the configuration.
+/// The store's answer to a read of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub enum FetchedConfig<'a> {
     /// The row's bytes and its revision.
     Row(&'a [u8], u64),
-    /// Why the row of this revision cannot be read.
+    /// Why the row cannot be decoded, and its revision.
     Unreadable(&'a str, u64),
-    /// It is still what the store told last.
+    /// The row is the same as in the store's previous answer.
     Unchanged,
 }
 
-/// What an instance tells another one of the configuration.
+/// The configuration as one instance sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerConfig {
-    /// The version that the store told it last.
+    /// The version in force at the sender, which it read from the store.
     pub version: u64,
-    /// How long ago that was surely the newest.
+    /// Time since this version was last known to be the newest.
     pub age: ClockSpan,
-    /// The row as the store holds it; empty if the asker knows it.
+    /// The row as the store holds it; empty if the receiver has this version or a
+    /// newer one.
     pub bytes: Vec<u8>,
 }
 
-/// A configuration that the store told.
+/// A configuration read from the store.
 #[derive(Clone, Debug)]
 struct CachedConfig {
     config: Rc<ForwardConfig>,
     bytes: Box<[u8]>,
 }
 
-/// The configuration of one process.
+/// Tracks the configuration of this process.
 pub struct ConfigTracker {
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
     belief: RefCell<ConfigBelief>,
-    /// What is in force.
+    /// The configuration in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
-    /// What the store told last.
+    /// The newest configuration read from the store.
     stored: RefCell<Option<CachedConfig>>,
-    /// Age beyond which an answer of the store is overdue.
+    /// Age of the configuration from which an answer of the store is overdue.
     overdue_after: ClockSpan,
-    /// Time from a question until it counts as failed.
+    /// Time after which a fetch without an answer counts as failed.
     fetch_timeout: ClockSpan,
-    /// The store answered.
+    /// Notified on each answer of the store.
     store_answered: Event,
-    /// Since when a question to the store has no answer when it should, or
-    /// another instance speaks of a newer version.
+    /// When to query other instances: set after a fetch without an answer, or when
+    /// another instance names a newer version; cleared by the store's next answer.
     query_due_at: Cell<Option<ClockTime>>,
+    /// Notified when `query_due_at` changes.
     query_wakeup: Event,
 }
 
 impl ConfigTracker {
-    /// A desk that knows no configuration yet.
+    /// Creates a tracker without a configuration.
     #[must_use]
     pub fn new(
         pace: QuestionPace,
@@ -118,27 +120,28 @@
         self.current.borrow().clone()
     }
 
-    /// For how long newer versions may exist without being known here; `None`
-    /// while none is known.
+    /// Age of the configuration: for how long a newer version may have existed
+    /// without being known here. `None` before the first one is known.
     #[must_use]
     pub fn age(&self) -> Option<ClockSpan> {
         self.belief.borrow().age().at(self.clock.boot_now())
     }
 
-    /// The version in force; 0 while none is known.
+    /// The version in force; 0 before the first one is known.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.belief.borrow().version().unwrap_or(0)
     }
 
-    /// Whether an answer of the store is overdue, so that what is not known here
-    /// may exist all the same.
+    /// Whether an answer of the store is overdue. If so, something missing from the
+    /// configuration in force may still exist.
     #[must_use]
     pub fn is_overdue(&self) -> bool {
         self.age().is_none_or(|age| age > self.overdue_after)
     }
 
-    /// Whether a request waits for an answer of the store.
+    /// Whether a request must wait for an answer of the store: one is overdue, and
+    /// the store is not known to be out of reach.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
         let belief = self.belief.borrow();
@@ -146,7 +149,7 @@
         belief.age().is_awaited(self.overdue_after, now)
     }
 
-    /// Waits for an answer of the store that is overdue, for `max_wait` at most.
+    /// Waits up to `max_wait` for an overdue answer of the store.
     pub async fn await_check(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
         if !wait_while(&self.clock, &self.store_answered, max_wait, awaited).await {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Tells the metrics how old the configuration may be.
+    /// Writes the age of the configuration to the metrics.
     pub fn report_age(&self) {
         if let Some(age) = self.age() {
             let seconds = fraction(age.as_millis()) / 1_000.0;
@@ -162,8 +165,8 @@
         }
     }
 
-    /// The store answered a question sent at `sent_at`. Returns the configuration
-    /// that it told, if that could be read.
+    /// Processes the store's answer to a fetch sent at `sent_at`. Returns the
+    /// configuration if the answer holds one that can be decoded.
     pub fn store_told(
         &self,
         fetched: FetchedConfig<'_>,
@@ -195,7 +198,8 @@
         Some(config)
     }
 
-    /// What is in force stays, and is known not to be the newest.
+    /// Records a row that cannot be decoded. The configuration in force stays, but
+    /// is known not to be the newest.
     fn record_unreadable(&self, error: &str, revision: u64) {
         self.belief.borrow_mut().store_unreadable(revision);
         let draft = EventDraft::new("config.unreadable")
@@ -204,7 +208,7 @@
         self.log.emit(draft);
     }
 
-    /// The store did not answer a question sent at `sent_at` when it should.
+    /// Records that a fetch sent at `sent_at` got no answer in time.
     pub fn unanswered(&self, sent_at: ClockTime) {
         let now = self.clock.boot_now();
         let mut belief = self.belief.borrow_mut();
@@ -215,14 +219,15 @@
         self.schedule_query(ClockSpan::ZERO);
     }
 
-    /// Another instance speaks of a version.
+    /// Records a version that another instance named.
     pub fn observe_version(&self, version: u64) {
         if self.belief.borrow().is_behind(version) {
             self.schedule_query(NEWER_VERSION_GRACE);
         }
     }
 
-    /// Has others asked after `delay`, unless the store answers by then.
+    /// Schedules a query of other instances after `delay`; an answer of the store
+    /// cancels it.
     fn schedule_query(&self, delay: ClockSpan) {
         let at = self.clock.now() + delay;
         let before = self.query_due_at.get();
@@ -231,14 +236,15 @@
         self.query_wakeup.notify(usize::MAX);
     }
 
-    /// Waits until others are to be asked.
+    /// Waits until other instances are to be queried.
     pub async fn wait_query_due(&self) {
         let due = || self.query_due_at.get();
         wait_due(&self.clock, &self.query_wakeup, due).await;
     }
 
-    /// What this instance tells another one that knows a version: only what the
-    /// store told this process, so that a false version goes no further.
+    /// The answer to another instance that has the version `known`. Only a
+    /// configuration that this process read from the store itself is passed on, so
+    /// that a forged version does not spread.
     #[must_use]
     pub fn answer_peer(&self, known: u64) -> Option<PeerConfig> {
         let belief = self.belief.borrow();
@@ -256,12 +262,12 @@
         })
     }
 
-    /// Another instance answered a question sent at `sent_at`; whether it put a
-    /// configuration into force.
+    /// Processes another instance's answer to a query sent at `sent_at`; true if its
+    /// configuration came into force.
     ///
     /// # Errors
     ///
-    /// It told something that cannot be what the store holds.
+    /// The row cannot be decoded, or has another version than the answer names.
     pub fn apply_peer_config(
         &self,
         answer: &PeerConfig,
@@ -278,7 +284,7 @@
         let config = Rc::new((self.decode)(&answer.bytes)?);
         if config.version != answer.version {
             let (named, held) = (answer.version, config.version);
-            return Err(format!("it was named {named} and is {held}").into());
+            return Err(format!("the answer names version {named}, its row has {held}").into());
         }
         let mut belief = self.belief.borrow_mut();
         let step = belief.instance_told(answer.version, answer.age, sent_at, now);
@@ -292,7 +298,7 @@
         Ok(true)
     }
 
-    /// Decodes a row, unless it is the one that is held already.
+    /// Decodes a row, or returns the cached configuration of the same bytes.
     fn decode_cached(&self, bytes: &[u8]) -> Result<Rc<ForwardConfig>, Box<str>> {
         let stored = self.stored.borrow();
         match stored.as_ref().filter(|stored| *stored.bytes == *bytes) {
@@ -312,7 +318,7 @@
         }
     }
 
-    /// Does what follows from an answer of the store.
+    /// Carries out the decision that follows from an answer of the store.
     fn apply_step(
         &self,
         step: BeliefStep,
@@ -342,7 +348,8 @@
         metrics::gauge!("guavawell_forward_config_version").set(fraction(config.version));
     }
 
-    /// Goes back to what the store told last.
+    /// Goes back to the newest configuration read from the store, because the store
+    /// does not hold the one that another instance sent.
     fn roll_back(&self) {
         let stored = self.stored.borrow();
         let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
--- a/crates/guavawell-forward/src/config/peer_query.rs
+++ b/crates/guavawell-forward/src/config/peer_query.rs
@@ -1,9 +1,9 @@
-//! Asks other instances for the configuration while the store does not answer.
+//! Fetches the configuration from other instances while the store does not answer.
 //!
-//! Load pattern: the way to the store is lost for one instance, or for some, and
-//! callers still reach it. Instances that are in touch with the store know every
-//! change milliseconds after it. Where the store is away from all, each asks a
-//! few others ever more seldom.
+//! Load pattern: one or some instances lose the connection to the store while
+//! callers still reach them. Instances that reach the store know every change
+//! within milliseconds. If no instance reaches the store, each queries a few others
+//! at growing intervals.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,25 +20,25 @@
 use crate::peer::PeerError;
 use crate::router::ForwardRouter;
 
-/// Instances that are asked in a round.
+/// Instances that are queried in a round.
 const PEERS_PER_ROUND: usize = 3;
-/// Wait for an instance's answer until the next one is asked beside it.
+/// Time after which the next instance is queried as well if none has answered.
 const HEDGE_DELAY: Duration = Duration::from_millis(150);
-/// Longest wait for the head of an answer.
+/// Timeout for the head of a response.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Doublings of the pause between rounds in which nobody was in touch with the
-/// store.
+/// Largest number of doublings of the interval after rounds in which no instance
+/// reached the store.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// What another instance received.
+/// Another instance's answer to a query.
 struct ReceivedConfig {
     instance: InstanceId,
     sent_at: ClockTime,
     answer: PeerConfig,
 }
 
-/// Asks others for as long as the process lives, whenever the store does not
-/// answer.
+/// Queries other instances whenever the store does not answer, for as long as the
+/// process runs.
 pub async fn query_peers(router: Rc<ForwardRouter>) {
     let interval = router.settings.times.config.wait;
     let mut failed_rounds = 0;
@@ -50,13 +50,13 @@
             failed_rounds + 1
         };
         let pause = timer_span(interval) * 2_u32.pow(failed_rounds.min(MAX_BACKOFF_DOUBLINGS));
-        // Spread, so that instances which lost the store together do not ask at
-        // one moment.
+        // Jitter, so that instances that lost the store together do not query at the
+        // same time.
         Timer::after(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
     }
 }
 
-/// Asks a few others, until one is in touch with the store; whether one was.
+/// Queries instances until one answers that reaches the store; true if one did.
 async fn query_round(router: &ForwardRouter) -> bool {
     let mut peers = router.peers.shuffled_addresses();
     if peers.is_empty() || router.peers.key().is_none() {
@@ -72,7 +72,7 @@
             return true;
         }
     }
-    // Late answers.
+    // Waits for late answers of instances queried before.
     matches!(tries.next_answer(HEAD_TIMEOUT).await, Some(Ok(received)) if apply_received(router, &received))
 }
 
@@ -94,7 +94,8 @@
     })
 }
 
-/// Takes in what an instance received; whether it is in touch with the store.
+/// Processes an instance's answer; true if its configuration is recent enough to
+/// show that the instance reaches the store.
 fn apply_received(router: &ForwardRouter, received: &ReceivedConfig) -> bool {
     let answer = &received.answer;
     match router.configs.apply_peer_config(answer, received.sent_at) {
