--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -35,7 +35,7 @@
 use crate::clock::SteadyClock;
 use crate::clock::wait_until;
 use crate::peer::PeerDesk;
-use crate::poison::PoisonDesk;
+use crate::poison::PoisonTracker;
 use crate::store::RowStore;
 
 pub use reserve::BudgetRefusal;
@@ -87,7 +87,7 @@
     /// The other instances.
     peers: Rc<PeerDesk>,
     /// Requests suspected of crashing servers; instances share them directly.
-    poison: Rc<PoisonDesk>,
+    poison: Rc<PoisonTracker>,
     book: RefCell<GrantBook>,
     /// Notified when a change in the book may let a waiting reservation succeed.
     changed: Event,
@@ -115,7 +115,7 @@
         clock: SteadyClock,
         log: EventLog,
         store: RowStore,
-        poison: Rc<PoisonDesk>,
+        poison: Rc<PoisonTracker>,
         peers: Rc<PeerDesk>,
     ) -> Self {
         let nonce = fastrand::u64(1..);
--- a/crates/guavawell-forward/src/budget/suspects.rs
+++ b/crates/guavawell-forward/src/budget/suspects.rs
@@ -25,7 +25,7 @@
     /// Broadcasts new suspicions for as long as the process runs.
     pub(super) async fn broadcast_suspects(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         loop {
-            let mut entries = self.poison.next_news().await;
+            let mut entries = self.poison.next_broadcast().await;
             if !self.broadcasts_all() {
                 entries.retain(|entry| entry.mark.crashes >= URGENT_CRASHES);
             }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -4,7 +4,7 @@
 //! This module holds the configurations themselves, and fetches newer ones from
 //! other instances while the store does not answer.
 
-mod peer_query;
+mod others;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,7 +27,7 @@
 use crate::clock::wait_due;
 use crate::clock::wait_while;
 
-pub use self::peer_query::query_peers;
+pub use self::others::query_peers;
 
 /// Time after which a newer version named by another instance is fetched from
 /// other instances, unless the store answers first. Normally a change reaches all
@@ -72,7 +72,7 @@
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
-    belief: RefCell<ConfigBelief>,
+    versions: RefCell<ConfigBelief>,
     /// The configuration in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// The newest configuration read from the store.
@@ -80,9 +80,9 @@
     /// Age of the configuration from which an answer of the store is overdue.
     overdue_after: ClockSpan,
     /// Time after which a fetch without an answer counts as failed.
-    fetch_timeout: ClockSpan,
+    answer_timeout: ClockSpan,
     /// Notified on each answer of the store.
-    store_answered: Event,
+    answer_event: Event,
     /// When to query other instances: set after a fetch without an answer, or when
     /// another instance names a newer version; cleared by the store's next answer.
     query_due_at: Cell<Option<ClockTime>>,
@@ -101,14 +101,14 @@
     ) -> Self {
         Self {
             overdue_after: pace.overdue_after(0),
-            fetch_timeout: pace.late_after(),
-            store_answered: Event::new(),
+            answer_timeout: pace.late_after(),
+            answer_event: Event::new(),
             query_due_at: Cell::new(None),
             query_wakeup: Event::new(),
             clock,
             log,
             decode,
-            belief: RefCell::default(),
+            versions: RefCell::default(),
             current: RefCell::default(),
             stored: RefCell::default(),
         }
@@ -124,13 +124,13 @@
     /// without being known here. `None` before the first one is known.
     #[must_use]
     pub fn age(&self) -> Option<ClockSpan> {
-        self.belief.borrow().age().at(self.clock.boot_now())
+        self.versions.borrow().age().at(self.clock.boot_now())
     }
 
     /// The version in force; 0 before the first one is known.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.belief.borrow().version().unwrap_or(0)
+        self.versions.borrow().version().unwrap_or(0)
     }
 
     /// Whether an answer of the store is overdue. If so, something missing from the
@@ -144,16 +144,16 @@
     /// the store is not known to be out of reach.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
-        let belief = self.belief.borrow();
+        let versions = self.versions.borrow();
         let now = self.clock.boot_now();
-        belief.age().is_awaited(self.overdue_after, now)
+        versions.age().is_awaited(self.overdue_after, now)
     }
 
     /// Waits up to `max_wait` for an overdue answer of the store.
     pub async fn await_check(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
-        if !wait_while(&self.clock, &self.store_answered, max_wait, awaited).await {
-            self.belief.borrow_mut().age_mut().waited_in_vain();
+        if !wait_while(&self.clock, &self.answer_event, max_wait, awaited).await {
+            self.versions.borrow_mut().age_mut().waited_in_vain();
         }
     }
 
@@ -181,7 +181,7 @@
                 return None;
             }
             FetchedConfig::Unchanged => {
-                let step = self.belief.borrow_mut().store_unchanged(sent_at, now);
+                let step = self.versions.borrow_mut().store_unchanged(sent_at, now);
                 self.apply_step(step, None, sent_at, now);
                 return None;
             }
@@ -190,9 +190,9 @@
         let config = read
             .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
-        let mut belief = self.belief.borrow_mut();
-        let step = belief.store_told(config.version, revision, sent_at, now);
-        drop(belief);
+        let mut versions = self.versions.borrow_mut();
+        let step = versions.store_told(config.version, revision, sent_at, now);
+        drop(versions);
         self.cache_stored(&config, bytes);
         self.apply_step(step, Some(&config), sent_at, now);
         Some(config)
@@ -201,7 +201,7 @@
     /// Records a row that cannot be decoded. The configuration in force stays, but
     /// is known not to be the newest.
     fn record_unreadable(&self, error: &str, revision: u64) {
-        self.belief.borrow_mut().store_unreadable(revision);
+        self.versions.borrow_mut().store_unreadable(revision);
         let draft = EventDraft::new("config.unreadable")
             .field("row", revision)
             .field("error", error);
@@ -211,17 +211,17 @@
     /// Records that a fetch sent at `sent_at` got no answer in time.
     pub fn unanswered(&self, sent_at: ClockTime) {
         let now = self.clock.boot_now();
-        let mut belief = self.belief.borrow_mut();
-        belief
+        let mut versions = self.versions.borrow_mut();
+        versions
             .age_mut()
-            .unanswered(sent_at, self.fetch_timeout, now);
-        drop(belief);
+            .unanswered(sent_at, self.answer_timeout, now);
+        drop(versions);
         self.schedule_query(ClockSpan::ZERO);
     }
 
     /// Records a version that another instance named.
     pub fn observe_version(&self, version: u64) {
-        if self.belief.borrow().is_behind(version) {
+        if self.versions.borrow().is_behind(version) {
             self.schedule_query(NEWER_VERSION_GRACE);
         }
     }
@@ -247,9 +247,9 @@
     /// that a forged version does not spread.
     #[must_use]
     pub fn answer_peer(&self, known: u64) -> Option<PeerConfig> {
-        let belief = self.belief.borrow();
-        let version = belief.proved_version()?;
-        let age = belief.age().at(self.clock.boot_now())?;
+        let versions = self.versions.borrow();
+        let version = versions.proved_version()?;
+        let age = versions.age().at(self.clock.boot_now())?;
         let stored = self.stored.borrow();
         let stored = stored
             .as_ref()
@@ -275,9 +275,9 @@
     ) -> Result<bool, Box<str>> {
         let now = self.clock.boot_now();
         if answer.bytes.is_empty() {
-            let mut belief = self.belief.borrow_mut();
-            if !belief.is_behind(answer.version) {
-                belief.instance_told(answer.version, answer.age, sent_at, now);
+            let mut versions = self.versions.borrow_mut();
+            if !versions.is_behind(answer.version) {
+                versions.instance_told(answer.version, answer.age, sent_at, now);
             }
             return Ok(false);
         }
@@ -286,9 +286,9 @@
             let (named, held) = (answer.version, config.version);
             return Err(format!("the answer names version {named}, its row has {held}").into());
         }
-        let mut belief = self.belief.borrow_mut();
-        let step = belief.instance_told(answer.version, answer.age, sent_at, now);
-        drop(belief);
+        let mut versions = self.versions.borrow_mut();
+        let step = versions.instance_told(answer.version, answer.age, sent_at, now);
+        drop(versions);
         if step != BeliefStep::Take {
             return Ok(false);
         }
@@ -326,12 +326,12 @@
         sent_at: ClockTime,
         now: ClockTime,
     ) {
-        self.store_answered.notify(usize::MAX);
+        self.answer_event.notify(usize::MAX);
         match (step, fetched) {
             (BeliefStep::Take, Some(config)) => {
                 self.activate(config, ConfigSource::Store, now.since(sent_at));
             }
-            (BeliefStep::Disown, _) => self.roll_back(),
+            (BeliefStep::Disown, _) => self.revert(),
             _ => {}
         }
     }
@@ -350,7 +350,7 @@
 
     /// Goes back to the newest configuration read from the store, because the store
     /// does not hold the one that another instance sent.
-    fn roll_back(&self) {
+    fn revert(&self) {
         let stored = self.stored.borrow();
         let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
         let version = |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |held| held.version);
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -39,32 +39,32 @@
 
 /// Pause before a crash is told, for others under the same crash to be told with
 /// it.
-const CRASH_PAUSE: ClockSpan = ClockSpan::from_millis(10);
+const CRASH_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(10);
 /// The same where a request was cleared, which nobody waits for.
-const CLEAR_PAUSE: ClockSpan = ClockSpan::from_millis(300);
+const CLEAR_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(300);
 
 /// What this process believes of requests that crash servers.
 #[derive(Debug)]
-pub struct PoisonDesk {
+pub struct PoisonTracker {
     instance: InstanceId,
     clock: SteadyClock,
     log: EventLog,
     store: RowStore,
     table: RefCell<PoisonTable>,
     /// Whether the others' rows were read once.
-    read: Cell<bool>,
+    rows_loaded: Cell<bool>,
     store_clock: Cell<StoreClock>,
     /// The version of the own row, as far as it is known.
-    row: Cell<u64>,
+    row_version: Cell<u64>,
     /// When the own row wants writing, if it does.
-    due: Cell<Option<ClockTime>>,
-    row_bell: Event,
+    write_due_at: Cell<Option<ClockTime>>,
+    row_wakeup: Event,
     /// What other instances have not been told directly.
-    news: RefCell<Vec<RequestFingerprint>>,
-    news_bell: Event,
+    unsent_changes: RefCell<Vec<RequestFingerprint>>,
+    broadcast_wakeup: Event,
 }
 
-impl PoisonDesk {
+impl PoisonTracker {
     /// A desk that knows nothing yet.
     #[must_use]
     pub fn new(
@@ -80,13 +80,13 @@
             log,
             store,
             table: RefCell::new(PoisonTable::new(settings)),
-            read: Cell::new(false),
+            rows_loaded: Cell::new(false),
             store_clock: Cell::default(),
-            row: Cell::new(0),
-            due: Cell::new(None),
-            row_bell: Event::new(),
-            news: RefCell::default(),
-            news_bell: Event::new(),
+            row_version: Cell::new(0),
+            write_due_at: Cell::new(None),
+            row_wakeup: Event::new(),
+            unsent_changes: RefCell::default(),
+            broadcast_wakeup: Event::new(),
         }
     }
 
@@ -112,13 +112,13 @@
     }
 
     /// For how long a request that has just come is refused, if it is. One that
-    /// is not decided on waits until it is, for `patience` at most.
+    /// is not decided on waits until it is, for `max_wait` at most.
     pub async fn judge(
         &self,
         fingerprint: RequestFingerprint,
-        patience: ClockSpan,
+        max_wait: ClockSpan,
     ) -> Option<ClockSpan> {
-        let until = self.clock.now() + patience;
+        let until = self.clock.now() + max_wait;
         while let PoisonVerdict::Undecided(span) = self.verdict(fingerprint) {
             let rest = span.min(self.clock.left(until));
             if rest == ClockSpan::ZERO {
@@ -148,8 +148,8 @@
         let change = table.crashed(fingerprint, organisation, attempt.began, server, now);
         drop(table);
         if let Some(change) = change {
-            self.note_change(change, &format_args!("crash of {}", attempt.server));
-            self.announce(change, CRASH_PAUSE);
+            self.record_change(change, &format_args!("crash of {}", attempt.server));
+            self.schedule_publication(change, CRASH_BATCH_DELAY);
         }
     }
 
@@ -171,20 +171,27 @@
 
     fn clear(&self, change: Option<MarkChange>, cause: &dyn std::fmt::Display) {
         if let Some(change) = change {
-            self.note_change(change, cause);
+            self.record_change(change, cause);
             let refused_from = self.table.borrow().settings().refused_from;
             let urgent = change.before.crashes >= refused_from;
-            self.announce(change, if urgent { CRASH_PAUSE } else { CLEAR_PAUSE });
+            self.schedule_publication(
+                change,
+                if urgent {
+                    CRASH_BATCH_DELAY
+                } else {
+                    CLEAR_BATCH_DELAY
+                },
+            );
         }
     }
 
     /// Another instance told what it saw.
     pub fn learn(&self, list: &SuspicionList, from: &dyn std::fmt::Display) {
-        self.take_list(list, false, from);
+        self.apply_list(list, false, from);
     }
 
     /// A row of [`POISON_TABLE`] was read; `time` is the store's steady time.
-    pub fn learn_row(&self, key: &str, version: u64, bytes: &[u8], time: Option<ClockTime>) {
+    pub fn apply_row(&self, key: &str, version: u64, bytes: &[u8], time: Option<ClockTime>) {
         let now = self.clock.now();
         if let Some(time) = time {
             let mut clock = self.store_clock.get();
@@ -193,10 +200,10 @@
         }
         let own = key == self.instance.as_str();
         if own {
-            self.row.set(self.row.get().max(version));
+            self.row_version.set(self.row_version.get().max(version));
         }
         match decode_row::<SuspicionList>(bytes) {
-            Ok(list) => self.take_list(&list, own, &key),
+            Ok(list) => self.apply_list(&list, own, &key),
             Err(error) => {
                 let draft = EventDraft::new("store.row_unreadable")
                     .field("row", format_args!("{POISON_TABLE}/{key}"))
@@ -208,16 +215,16 @@
     }
 
     /// All rows were read once.
-    pub fn rows_read(&self) {
-        if !self.read.replace(true) {
-            self.row_bell.notify(usize::MAX);
+    pub fn set_rows_loaded(&self) {
+        if !self.rows_loaded.replace(true) {
+            self.row_wakeup.notify(usize::MAX);
         }
     }
 
     /// Whether all rows were read once.
     #[must_use]
     pub fn is_read(&self) -> bool {
-        self.read.get()
+        self.rows_loaded.get()
     }
 
     /// Forgets what no longer counts.
@@ -252,7 +259,7 @@
         self.table.borrow().verdict(fingerprint, self.clock.now())
     }
 
-    fn take_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
+    fn apply_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
         let now = self.clock.now();
         let mut learned = 0;
         for told in list.aged(self.store_clock.get().now(now)) {
@@ -262,8 +269,8 @@
             };
             if change.mark != told.mark {
                 self.clear(Some(change), &"answer");
-            } else if is_of_note(change) {
-                self.note_change(change, &format_args!("told by {from}"));
+            } else if is_repeat_crash(change) {
+                self.record_change(change, &format_args!("told by {from}"));
             } else {
                 learned += 1;
             }
@@ -276,7 +283,7 @@
         }
     }
 
-    fn note_change(&self, change: MarkChange, cause: &dyn std::fmt::Display) {
+    fn record_change(&self, change: MarkChange, cause: &dyn std::fmt::Display) {
         let refused_from = self.table.borrow().settings().refused_from;
         let kind = match change.mark.crashes {
             0 => "poison.cleared",
@@ -293,37 +300,38 @@
     }
 
     /// Has a change told to the others.
-    fn announce(&self, change: MarkChange, pause: ClockSpan) {
-        let at = self.clock.now() + pause;
-        let due = self.due.get().map_or(at, |due| due.min(at));
-        self.due.set(Some(due));
-        self.row_bell.notify(usize::MAX);
-        let mut news = self.news.borrow_mut();
-        if !news.contains(&change.fingerprint) {
-            news.push(change.fingerprint);
+    fn schedule_publication(&self, change: MarkChange, delay: ClockSpan) {
+        let at = self.clock.now() + delay;
+        let due = self.write_due_at.get().map_or(at, |due| due.min(at));
+        self.write_due_at.set(Some(due));
+        self.row_wakeup.notify(usize::MAX);
+        let mut unsent_changes = self.unsent_changes.borrow_mut();
+        if !unsent_changes.contains(&change.fingerprint) {
+            unsent_changes.push(change.fingerprint);
         }
-        self.news_bell.notify(usize::MAX);
+        self.broadcast_wakeup.notify(usize::MAX);
     }
 
     /// Waits for something that other instances are to be told directly, as much
     /// as a row holds at most.
-    pub async fn next_news(&self) -> Vec<SharedSuspicion> {
+    pub async fn next_broadcast(&self) -> Vec<SharedSuspicion> {
         loop {
-            let bell = self.news_bell.listen();
-            if !self.news.borrow().is_empty() {
+            let wakeup = self.broadcast_wakeup.listen();
+            if !self.unsent_changes.borrow().is_empty() {
                 break;
             }
-            bell.await;
+            wakeup.await;
         }
-        Timer::after(timer_span(CRASH_PAUSE)).await;
+        Timer::after(timer_span(CRASH_BATCH_DELAY)).await;
         let now = self.clock.now();
         let table = self.table.borrow();
-        let mut news = self.news.borrow_mut();
+        let mut unsent_changes = self.unsent_changes.borrow_mut();
         // A message is no longer than a row; what is left is told next.
-        let rest = news.len().min(table.settings().most_told);
-        let rest = news.split_off(rest);
-        let news = std::mem::replace(&mut *news, rest);
-        news.into_iter()
+        let batch_size = unsent_changes.len().min(table.settings().most_told);
+        let remaining = unsent_changes.split_off(batch_size);
+        let batch = std::mem::replace(&mut *unsent_changes, remaining);
+        batch
+            .into_iter()
             .filter_map(|fingerprint| table.shared(fingerprint, now))
             .collect()
     }
@@ -331,6 +339,6 @@
 
 /// A first crash names every request at a server, and an answer clears nearly
 /// all of them: of those that others tell, one line tells them all.
-const fn is_of_note(change: MarkChange) -> bool {
+const fn is_repeat_crash(change: MarkChange) -> bool {
     change.mark.crashes > 1 || change.before.crashes > 1
 }
--- a/crates/guavawell-forward/src/poison/publish.rs
+++ b/crates/guavawell-forward/src/poison/publish.rs
@@ -8,7 +8,7 @@
 use smol::Timer;
 
 use super::POISON_TABLE;
-use super::PoisonDesk;
+use super::PoisonTracker;
 use crate::clock::wait_due;
 use crate::store::RowKey;
 use crate::store::RowState;
@@ -16,27 +16,27 @@
 use crate::store::WriteAnswer;
 
 /// Pause after a write that failed, with a spread of as much again.
-const FAULT_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Pause after a write: an instance writes its row so often at most.
-const WRITE_PAUSE: Duration = Duration::from_millis(50);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-impl PoisonDesk {
+impl PoisonTracker {
     /// Keeps the own row up to date for as long as the process lives.
     pub async fn publish(self: Rc<Self>) {
         loop {
             self.wait_due().await;
-            self.due.set(None);
+            self.write_due_at.set(None);
             match self.write_row().await {
                 Ok(true) => {
-                    Timer::after(WRITE_PAUSE).await;
+                    Timer::after(MIN_WRITE_INTERVAL).await;
                 }
                 // The row had another version, which is known now.
-                Ok(false) => self.due.set(Some(self.clock.now())),
+                Ok(false) => self.write_due_at.set(Some(self.clock.now())),
                 Err(fault) => {
                     log::debug!("the row of suspects was not written: {fault}");
                     metrics::counter!("guavawell_forward_store_faults_total").increment(1);
-                    self.due.set(Some(self.clock.now()));
-                    Timer::after(FAULT_PAUSE + FAULT_PAUSE.mul_f64(fastrand::f64())).await;
+                    self.write_due_at.set(Some(self.clock.now()));
+                    Timer::after(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
                 }
             }
         }
@@ -45,8 +45,8 @@
     /// Waits until the row wants writing. It may hold what an earlier life of
     /// this instance saw, so it is read before it is written over.
     async fn wait_due(&self) {
-        let due = || self.due.get().filter(|_| self.is_read());
-        wait_due(&self.clock, &self.row_bell, due).await;
+        let due = || self.write_due_at.get().filter(|_| self.is_read());
+        wait_due(&self.clock, &self.row_wakeup, due).await;
     }
 
     /// Writes the row; false if it had another version than was known.
@@ -64,13 +64,13 @@
             key: self.instance.as_str().into(),
         };
         metrics::counter!("guavawell_forward_poison_writes_total").increment(1);
-        match (self.store.write)(key, self.row.get(), bytes).await? {
+        match (self.store.write)(key, self.row_version.get(), bytes).await? {
             WriteAnswer::Done(version, _) => {
-                self.row.set(version);
+                self.row_version.set(version);
                 Ok(true)
             }
             WriteAnswer::Changed(state) => {
-                self.take_own(&state);
+                self.apply_own_row(&state);
                 Ok(false)
             }
         }
@@ -78,11 +78,11 @@
 
     /// The own row as an earlier life of this instance, or a write without an
     /// answer, left it.
-    fn take_own(&self, state: &RowState) {
-        self.row.set(state.version);
+    fn apply_own_row(&self, state: &RowState) {
+        self.row_version.set(state.version);
         if let Some(value) = &state.value {
             let instance = self.instance.clone();
-            self.learn_row(instance.as_str(), state.version, value, state.time);
+            self.apply_row(instance.as_str(), state.version, value, state.time);
         }
     }
 }
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -29,7 +29,7 @@
 use crate::config::FetchedConfig;
 use crate::crash::CrashChecks;
 use crate::peer::PeerDesk;
-use crate::poison::PoisonDesk;
+use crate::poison::PoisonTracker;
 use crate::pool::ConnectionPool;
 use crate::settings::ForwardSettings;
 
@@ -82,7 +82,7 @@
     /// Budgets.
     pub budgets: Rc<BudgetManager>,
     /// Requests that crash servers.
-    pub poison: Rc<PoisonDesk>,
+    pub poison: Rc<PoisonTracker>,
     /// Looks at whether servers that broke off have crashed.
     pub crashes: CrashChecks,
     /// Requests held now.
@@ -104,7 +104,7 @@
         log: EventLog,
         configs: Rc<ConfigTracker>,
         budgets: Rc<BudgetManager>,
-        poison: Rc<PoisonDesk>,
+        poison: Rc<PoisonTracker>,
     ) -> Self {
         Self {
             clock,
@@ -357,7 +357,7 @@
 
     /// What the fleet believes of requests that crash servers was read.
     pub fn poison_read(&self) {
-        self.poison.rows_read();
+        self.poison.set_rows_loaded();
         self.informed.notify(usize::MAX);
     }
 
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -25,7 +25,7 @@
 use guavawell_forward::config::FetchedConfig;
 use guavawell_forward::names::FieldNames;
 use guavawell_forward::peer::PeerDesk;
-use guavawell_forward::poison::PoisonDesk;
+use guavawell_forward::poison::PoisonTracker;
 use guavawell_forward::router::ForwardRouter;
 use guavawell_forward::settings::ForwardSettings;
 use guavawell_forward::settings::ListenAddresses;
@@ -67,7 +67,7 @@
         instance: instance.clone(),
         zone: "z1".parse().expect("a valid id"),
     };
-    let poison = Rc::new(PoisonDesk::new(
+    let poison = Rc::new(PoisonTracker::new(
         instance.clone(),
         PoisonSettings::default(),
         clock,
