--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -79,11 +79,11 @@
     stored: RefCell<Option<CachedConfig>>,
     /// Age of the configuration from which an answer of the store is overdue.
     overdue_after: ClockSpan,
-    /// Time after which a fetch without an answer counts as failed.
+    /// Time after which a poll of the store without an answer counts as failed.
     answer_timeout: ClockSpan,
     /// Notified on each answer of the store.
     answer_event: Event,
-    /// When to query other instances: set after a fetch without an answer, or when
+    /// When to query other instances: set after a poll without an answer, or when
     /// another instance names a newer version; cleared by the store's next answer.
     query_due_at: Cell<Option<ClockTime>>,
     /// Notified when `query_due_at` changes.
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Processes the store's answer to a fetch sent at `sent_at`. Returns the
+    /// Processes the store's answer to a poll sent at `sent_at`. Returns the
     /// configuration if the answer holds one that can be decoded.
     pub fn store_told(
         &self,
@@ -208,7 +208,7 @@
         self.log.emit(draft);
     }
 
-    /// Records that a fetch sent at `sent_at` got no answer in time.
+    /// Records that a poll of the store sent at `sent_at` got no answer in time.
     pub fn unanswered(&self, sent_at: ClockTime) {
         let now = self.clock.boot_now();
         let mut versions = self.versions.borrow_mut();
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -1,9 +1,9 @@
-//! Carries out what is believed of requests that crash servers: what this
-//! instance sees, what it tells the others, and what they tell it.
+//! Detects requests that crash servers, and shares the suspicions with the fleet.
 //!
-//! Two carriers, since either may fail. Each instance has a row in the store
-//! that all follow; a process that starts finds there what was believed before
-//! it. Instances also tell each other directly, which needs no store.
+//! Suspicions spread in two ways, since either may fail. Each instance writes its
+//! own row in the store and all read them, so a process that starts has the earlier
+//! suspicions. Instances also send them directly to each other, which works while
+//! the store is out of reach.
 
 mod publish;
 
@@ -34,16 +34,18 @@
 use crate::crash::AbandonedAttempt;
 use crate::store::RowStore;
 
-/// Table of the instances' rows, in its unnamed part.
+/// Table of the suspicions: one row an instance, all in the part with the empty
+/// name.
 pub const POISON_TABLE: &str = "guavawell_suspects";
 
-/// Pause before a crash is told, for others under the same crash to be told with
-/// it.
+/// Delay before a crash is published, so that the other requests of the crashed
+/// server are in the same message.
 const CRASH_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(10);
-/// The same where a request was cleared, which nobody waits for.
+/// Delay before a cleared suspicion is published. It is longer because no request
+/// waits for it.
 const CLEAR_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(300);
 
-/// What this process believes of requests that crash servers.
+/// The suspicions known to this process.
 #[derive(Debug)]
 pub struct PoisonTracker {
     instance: InstanceId,
@@ -51,21 +53,23 @@
     log: EventLog,
     store: RowStore,
     table: RefCell<PoisonTable>,
-    /// Whether the others' rows were read once.
+    /// Whether all rows of the store were read once.
     rows_loaded: Cell<bool>,
     store_clock: Cell<StoreClock>,
-    /// The version of the own row, as far as it is known.
+    /// The last known version of this instance's own row.
     row_version: Cell<u64>,
-    /// When the own row wants writing, if it does.
+    /// When the own row is to be written, if a change is unpublished.
     write_due_at: Cell<Option<ClockTime>>,
+    /// Notified when the own row may have to be written.
     row_wakeup: Event,
-    /// What other instances have not been told directly.
+    /// Requests whose change was not yet sent directly to other instances.
     unsent_changes: RefCell<Vec<RequestFingerprint>>,
+    /// Notified when `unsent_changes` grows.
     broadcast_wakeup: Event,
 }
 
 impl PoisonTracker {
-    /// A desk that knows nothing yet.
+    /// Creates a tracker without suspicions.
     #[must_use]
     pub fn new(
         instance: InstanceId,
@@ -90,19 +94,20 @@
         }
     }
 
-    /// How far a request is suspected.
+    /// The suspicion mark of a request.
     #[must_use]
     pub fn mark(&self, fingerprint: RequestFingerprint) -> SuspicionMark {
         self.table.borrow().mark(fingerprint)
     }
 
-    /// The request, if servers crashed under it and it is not refused yet.
+    /// Returns the fingerprint if servers crashed while they ran the request and it
+    /// is not refused yet.
     #[must_use]
     pub fn suspect(&self, fingerprint: RequestFingerprint) -> Option<RequestFingerprint> {
         (self.verdict(fingerprint) == PoisonVerdict::Suspect).then_some(fingerprint)
     }
 
-    /// For how long a request is not to be sent, if it is not.
+    /// How long the request must not be sent to a server; `None` if it may be sent.
     #[must_use]
     pub fn refused_for(&self, fingerprint: RequestFingerprint) -> Option<ClockSpan> {
         match self.verdict(fingerprint) {
@@ -111,8 +116,8 @@
         }
     }
 
-    /// For how long a request that has just come is refused, if it is. One that
-    /// is not decided on waits until it is, for `max_wait` at most.
+    /// Checks a new request: returns how long it is refused, or `None` if it may be
+    /// sent. While the verdict is undecided, waits for it up to `max_wait`.
     pub async fn judge(
         &self,
         fingerprint: RequestFingerprint,
@@ -133,13 +138,13 @@
         self.refused_for(fingerprint)
     }
 
-    /// Whether another attempt of the same request may follow one that failed.
+    /// Whether a failed attempt of the request may be retried.
     #[must_use]
     pub fn may_repeat(&self, fingerprint: RequestFingerprint) -> bool {
         self.table.borrow().may_repeat(fingerprint)
     }
 
-    /// A server crashed under an attempt.
+    /// Records that a server crashed while it ran an attempt.
     pub fn crashed(&self, attempt: &AbandonedAttempt) {
         let (fingerprint, organisation) = (attempt.fingerprint, attempt.organisation);
         let now = self.clock.now();
@@ -153,15 +158,15 @@
         }
     }
 
-    /// A request was answered completely.
+    /// Records a complete answer to a request, which clears its suspicion.
     pub fn answered(&self, fingerprint: RequestFingerprint) {
         let now = self.clock.now();
         let change = self.table.borrow_mut().answered(fingerprint, now);
         self.clear(change, &"answer");
     }
 
-    /// An operator says that a request crashes no servers; false if it is not
-    /// suspected.
+    /// Clears the suspicion of a request at an operator's command; false if it is
+    /// not suspected.
     pub fn acquit(&self, fingerprint: RequestFingerprint) -> bool {
         let now = self.clock.now();
         let change = self.table.borrow_mut().acquit(fingerprint, now);
@@ -185,12 +190,13 @@
         }
     }
 
-    /// Another instance told what it saw.
+    /// Merges a list of suspicions that another instance sent.
     pub fn learn(&self, list: &SuspicionList, from: &dyn std::fmt::Display) {
         self.apply_list(list, false, from);
     }
 
-    /// A row of [`POISON_TABLE`] was read; `time` is the store's steady time.
+    /// Merges a row read from [`POISON_TABLE`]; `time` is the store's steady time when
+    /// it answered.
     pub fn apply_row(&self, key: &str, version: u64, bytes: &[u8], time: Option<ClockTime>) {
         let now = self.clock.now();
         if let Some(time) = time {
@@ -214,7 +220,7 @@
         }
     }
 
-    /// All rows were read once.
+    /// Records that all rows were read once, so that the own row may be written.
     pub fn set_rows_loaded(&self) {
         if !self.rows_loaded.replace(true) {
             self.row_wakeup.notify(usize::MAX);
@@ -227,13 +233,13 @@
         self.rows_loaded.get()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired suspicions.
     pub fn sweep(&self) {
         let now = self.clock.now();
         self.table.borrow_mut().sweep(now);
     }
 
-    /// What is believed, a line for each request, for an operator.
+    /// Lists the suspicions for an operator, one line a request.
     #[must_use]
     pub fn listing(&self) -> String {
         let now = self.clock.now();
@@ -299,7 +305,8 @@
         self.log.emit(draft);
     }
 
-    /// Has a change told to the others.
+    /// Schedules a change to be written to the own row after `delay`, and sent to
+    /// other instances.
     fn schedule_publication(&self, change: MarkChange, delay: ClockSpan) {
         let at = self.clock.now() + delay;
         let due = self.write_due_at.get().map_or(at, |due| due.min(at));
@@ -312,8 +319,8 @@
         self.broadcast_wakeup.notify(usize::MAX);
     }
 
-    /// Waits for something that other instances are to be told directly, as much
-    /// as a row holds at most.
+    /// Waits for changes to send directly to other instances, and returns at most as
+    /// many as a row may hold.
     pub async fn next_broadcast(&self) -> Vec<SharedSuspicion> {
         loop {
             let wakeup = self.broadcast_wakeup.listen();
@@ -326,7 +333,7 @@
         let now = self.clock.now();
         let table = self.table.borrow();
         let mut unsent_changes = self.unsent_changes.borrow_mut();
-        // A message is no longer than a row; what is left is told next.
+        // A message holds no more than a row does; the rest is in the next one.
         let batch_size = unsent_changes.len().min(table.settings().most_told);
         let remaining = unsent_changes.split_off(batch_size);
         let batch = std::mem::replace(&mut *unsent_changes, remaining);
@@ -337,8 +344,9 @@
     }
 }
 
-/// A first crash names every request at a server, and an answer clears nearly
-/// all of them: of those that others tell, one line tells them all.
+/// Whether a change that another instance reported gets an event of its own. A first
+/// crash marks every request at a server and an answer clears nearly all of them, so
+/// first crashes share one event for the whole list.
 const fn is_repeat_crash(change: MarkChange) -> bool {
     change.mark.crashes > 1 || change.before.crashes > 1
 }
--- a/crates/guavawell-forward/src/poison/publish.rs
+++ b/crates/guavawell-forward/src/poison/publish.rs
@@ -1,4 +1,4 @@
-//! The own row in the store: what this instance saw.
+//! Writes this instance's own row of suspicions to the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-/// Pause after a write that failed, with a spread of as much again.
+/// Shortest delay after a failed write; up to as much again is added as jitter.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Pause after a write: an instance writes its row so often at most.
+/// Shortest interval between two writes of the row.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl PoisonTracker {
-    /// Keeps the own row up to date for as long as the process lives.
+    /// Keeps the own row up to date for as long as the process runs.
     pub async fn publish(self: Rc<Self>) {
         loop {
             self.wait_due().await;
@@ -30,10 +30,11 @@
                 Ok(true) => {
                     Timer::after(MIN_WRITE_INTERVAL).await;
                 }
-                // The row had another version, which is known now.
+                // The row had another version. It was merged, so the next write can
+                // succeed.
                 Ok(false) => self.write_due_at.set(Some(self.clock.now())),
                 Err(fault) => {
-                    log::debug!("the row of suspects was not written: {fault}");
+                    log::debug!("writing the row of suspects failed: {fault}");
                     metrics::counter!("guavawell_forward_store_faults_total").increment(1);
                     self.write_due_at.set(Some(self.clock.now()));
                     Timer::after(RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())).await;
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Waits until the row wants writing. It may hold what an earlier life of
-    /// this instance saw, so it is read before it is written over.
+    /// Waits until a write of the row is due. The row may hold suspicions of an
+    /// earlier process of this instance, so it must be read before it is overwritten.
     async fn wait_due(&self) {
         let due = || self.write_due_at.get().filter(|_| self.is_read());
         wait_due(&self.clock, &self.row_wakeup, due).await;
     }
 
-    /// Writes the row; false if it had another version than was known.
+    /// Writes the row; false if the store holds another version than the last known.
     async fn write_row(&self) -> Result<bool, StoreFault> {
         let now = self.clock.now();
         let list = SuspicionList {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// The own row as an earlier life of this instance, or a write without an
-    /// answer, left it.
+    /// Merges the own row as the store holds it: written by an earlier process of this
+    /// instance, or by a write whose answer was lost.
     fn apply_own_row(&self, state: &RowState) {
         self.row_version.set(state.version);
         if let Some(value) = &state.value {
