--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -20,8 +20,8 @@
 use crate::clock::timer_span;
 use crate::http::ChannelError;
 use crate::peer::PeerError;
-use crate::peer::PeerQuestion;
-use crate::peer::read_answer;
+use crate::peer::PeerRequest;
+use crate::peer::read_loan_answer;
 
 /// Timeout of a loan or return: a few milliseconds on the network and, at an
 /// instance with a tenth of a core, some tens of milliseconds in its queue.
@@ -59,16 +59,16 @@
         limit: ClockSpan,
     ) -> bool {
         let end = self.clock.now() + limit;
-        let ask = self.loan_ask(organisation, tokens);
-        for (instance, address) in self.choose_lenders(organisation, ask) {
-            let ask = self.loan_ask(organisation, tokens);
+        let loan = self.loan_ask(organisation, tokens);
+        for (instance, address) in self.choose_lenders(organisation, loan) {
+            let loan = self.loan_ask(organisation, tokens);
             let Some(answer) = self
-                .request_loan(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, loan, end)
                 .await
             else {
                 continue;
             };
-            if answer.tokens >= ask.needed {
+            if answer.tokens >= loan.needed {
                 return true;
             }
         }
@@ -98,12 +98,12 @@
                 break;
             }
             let (instance, address) = holders.remove(0);
-            let ask = self.loan_ask(organisation, tokens);
+            let loan = self.loan_ask(organisation, tokens);
             let answer = self
-                .request_loan(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, loan, end)
                 .await;
             match answer {
-                Some(answer) if answer.tokens >= ask.needed => return ShareOutcome::Lent,
+                Some(answer) if answer.tokens >= loan.needed => return ShareOutcome::Lent,
                 Some(answer) => {
                     if answer.cause.is_used_up() {
                         return ShareOutcome::Declined(answer.cause);
@@ -131,17 +131,19 @@
         organisation: &OrganisationId,
         instance: &InstanceId,
         address: SocketAddr,
-        ask: LoanAsk,
+        loan: LoanAsk,
         end: ClockTime,
     ) -> Option<LoanAnswer> {
         let rest = timer_span(end.since(self.clock.now()));
         if rest.is_zero() || self.peers.key().is_none() {
             return None;
         }
-        let question = PeerQuestion::Loan(organisation.clone(), ask);
+        let request = PeerRequest::Loan(organisation.clone(), loan);
         let limit = LOAN_TIMEOUT.min(rest);
-        let answered = self.peers.ask(address, &question, limit);
-        let result = answered.await.map(|answer| read_answer(&answer.head));
+        let response = self.peers.send_request(address, &request, limit);
+        let result = response
+            .await
+            .map(|response| read_loan_answer(&response.head));
         let (answer, nonce) = match result {
             Ok(Some(answer)) => answer,
             Ok(None) => {
@@ -153,7 +155,7 @@
                 return None;
             }
         };
-        self.peers.reached(instance);
+        self.peers.mark_reachable(instance);
         if answer.tokens > 0 {
             let lender = LenderId {
                 instance: instance.clone(),
@@ -163,7 +165,7 @@
             let mut book = self.book.borrow_mut();
             book.take_loan(organisation, lender, answer.tokens, now);
             drop(book);
-            self.record_loan("budget.borrowed", organisation, instance, ask, answer);
+            self.record_loan("budget.borrowed", organisation, instance, loan, answer);
         }
         Some(answer)
     }
@@ -173,7 +175,7 @@
             .field("other", instance)
             .field("cause", cause);
         self.log.emit(draft);
-        self.peers.avoid(instance);
+        self.peers.mark_unreachable(instance);
     }
 
     /// Chooses the instances that a holder asks: first those whose spending limits
@@ -185,12 +187,12 @@
     fn choose_lenders(
         &self,
         organisation: &OrganisationId,
-        ask: LoanAsk,
+        loan: LoanAsk,
     ) -> Vec<(InstanceId, SocketAddr)> {
         let held = self.book.borrow().lenders(organisation);
         let mut able: Vec<(InstanceId, u64, SocketAddr)> = held
             .into_iter()
-            .filter(|(_, free)| *free >= ask.needed.div_ceil(2))
+            .filter(|(_, free)| *free >= loan.needed.div_ceil(2))
             .filter_map(|(instance, free)| {
                 let address = self.peers.address_of(&instance)?;
                 Some((instance, free, address))
@@ -248,8 +250,10 @@
     async fn send_return(&self, loan_return: &LoanReturn) -> Result<(), PeerError> {
         let address = self.peers.address_of(&loan_return.lender.instance);
         let address = address.ok_or(ChannelError::Closed)?;
-        let question = PeerQuestion::Return(loan_return.clone());
-        self.peers.ask(address, &question, LOAN_TIMEOUT).await?;
+        let request = PeerRequest::Return(loan_return.clone());
+        self.peers
+            .send_request(address, &request, LOAN_TIMEOUT)
+            .await?;
         Ok(())
     }
 
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -11,7 +11,7 @@
 
 use super::BUDGET_TABLE;
 use super::BudgetManager;
-use super::LINE_TABLE;
+use super::LIMIT_TABLE;
 use super::ROW_KEY;
 use crate::store::RowKey;
 use crate::store::RowState;
@@ -33,9 +33,9 @@
 }
 
 impl BudgetManager {
-    pub(super) fn line_key(&self) -> RowKey {
+    pub(super) fn limit_key(&self) -> RowKey {
         RowKey {
-            table: LINE_TABLE,
+            table: LIMIT_TABLE,
             part: self.instance.as_str().into(),
             key: ROW_KEY.into(),
         }
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -22,10 +22,10 @@
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::within;
-use crate::peer::PeerQuestion;
-use crate::peer::ReceivedQuestion;
-use crate::peer::VERSION_FIELD;
-use crate::peer::write_answer;
+use crate::peer::CONFIG_VERSION_FIELD;
+use crate::peer::PeerRequest;
+use crate::peer::ReceivedRequest;
+use crate::peer::write_loan_answer;
 
 /// How long a lender waits for the store: a pending write of the same row and two
 /// more responses. Shorter than the borrower's timeout by the time that the answer
@@ -56,38 +56,39 @@
 
     async fn serve_peer(self: &Rc<Self>, mut channel: HttpChannel) -> Result<(), ChannelError> {
         loop {
-            let asked = within(IDLE_TIMEOUT, ReceivedQuestion::read(&mut channel)).await?;
+            let received = within(IDLE_TIMEOUT, ReceivedRequest::read(&mut channel)).await?;
             let Some(key) = self.peers.key() else {
                 // A process that has just started may be called before it has read
                 // the key.
                 return self.reject(&channel, 503, "Service Unavailable").await;
             };
-            let Some(nonce) = asked.proved_nonce(key) else {
+            let Some(nonce) = received.authenticated_nonce(key) else {
                 metrics::counter!("guavawell_forward_strangers_total").increment(1);
                 return self.reject(&channel, 403, "Forbidden").await;
             };
-            let head = &asked.head;
-            self.peers.hear_version(head.fields.get(VERSION_FIELD));
-            let question = PeerQuestion::parse(head.path(), &asked.body, &self.instance);
-            let status = question
+            let head = &received.head;
+            self.peers
+                .receive_version(head.fields.get(CONFIG_VERSION_FIELD));
+            let request = PeerRequest::parse(head.path(), &received.body, &self.instance);
+            let status = request
                 .as_ref()
                 .map_or((400, "Bad Request"), |_| (200, "OK"));
             let mut writer = HeadWriter::response(status.0, status.1);
             self.peers.write_version(&mut writer);
             let mut body = Vec::new();
-            match question {
-                Some(PeerQuestion::Loan(organisation, ask)) => {
+            match request {
+                Some(PeerRequest::Loan(organisation, loan)) => {
                     if !channel.is_quiet() {
-                        return self.decline_departed(&organisation, &head.host, ask);
+                        return self.decline_departed(&organisation, &head.host, loan);
                     }
-                    let answer = self.lend(&organisation, ask).await;
-                    self.record_loan("budget.lent", &organisation, &head.host, ask, answer);
-                    write_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
+                    let answer = self.lend(&organisation, loan).await;
+                    self.record_loan("budget.lent", &organisation, &head.host, loan, answer);
+                    write_loan_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
                 }
-                Some(PeerQuestion::Return(loan_return)) => self.apply_return(&loan_return),
-                Some(PeerQuestion::Suspects(list)) => self.poison.learn(&list, &"another"),
-                Some(PeerQuestion::Config(known)) => {
-                    body = self.peers.tell_config(known, &mut writer);
+                Some(PeerRequest::Return(loan_return)) => self.receive_return(&loan_return),
+                Some(PeerRequest::Suspects(list)) => self.poison.learn(&list, &"another"),
+                Some(PeerRequest::Config(known)) => {
+                    body = self.peers.answer_config(known, &mut writer);
                 }
                 None => {}
             }
@@ -103,14 +104,14 @@
         &self,
         organisation: &OrganisationId,
         other: &dyn std::fmt::Display,
-        ask: LoanAsk,
+        loan: LoanAsk,
     ) -> Result<(), ChannelError> {
         metrics::counter!("guavawell_forward_loans_total", "kind" => "budget.asker_left")
             .increment(1);
         let draft = EventDraft::new("budget.asker_left")
             .organisation(organisation)
             .field("other", other)
-            .field("needed", ask.needed);
+            .field("needed", loan.needed);
         self.log.emit(draft);
         Err(ChannelError::Closed)
     }
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    fn apply_return(&self, loan_return: &LoanReturn) {
+    fn receive_return(&self, loan_return: &LoanReturn) {
         if self.book.borrow_mut().take_return(loan_return) {
             if loan_return.unspent > 0 {
                 self.changed.notify(usize::MAX);
@@ -145,18 +146,18 @@
 
     /// Lends tokens. If there are too few, waits for the store where that helps, and
     /// lends a part of what is needed only if the wait brings no more.
-    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, ask: LoanAsk) -> LoanAnswer {
+    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, loan: LoanAsk) -> LoanAnswer {
         let lend_whole = || {
             let now = self.clock.now();
-            self.book.borrow_mut().lend_whole(organisation, ask, now)
+            self.book.borrow_mut().lend_whole(organisation, loan, now)
         };
         let answer = lend_whole();
         if answer.tokens > 0 {
             return answer;
         }
         let now = self.clock.now();
-        let later = self.book.borrow().lend_later(organisation, ask, now);
-        if let (Some(missing), false) = (later, self.is_cut_off()) {
+        let missing_tokens = self.book.borrow().lend_later(organisation, loan, now);
+        if let (Some(missing), false) = (missing_tokens, self.is_cut_off()) {
             let _waiting = DemandGuard::new(self, organisation, missing);
             self.wake_writers();
             let end = now + MAX_LEND_WAIT;
@@ -174,7 +175,7 @@
             }
         }
         let now = self.clock.now();
-        self.book.borrow_mut().lend(organisation, ask, now)
+        self.book.borrow_mut().lend(organisation, loan, now)
     }
 
     pub(super) fn record_loan(
@@ -182,7 +183,7 @@
         kind: &str,
         organisation: &OrganisationId,
         other: impl std::fmt::Display,
-        ask: LoanAsk,
+        loan: LoanAsk,
         answer: LoanAnswer,
     ) {
         metrics::counter!("guavawell_forward_loans_total", "kind" => kind.to_owned()).increment(1);
@@ -190,8 +191,8 @@
         let draft = EventDraft::new(kind)
             .organisation(organisation)
             .field("other", other)
-            .field("needed", ask.needed)
-            .field("wanted", ask.wanted)
+            .field("needed", loan.needed)
+            .field("wanted", loan.wanted)
             .field("lent", answer.tokens)
             .field("cause", answer.cause.as_str())
             .field("grant", facts.grant)
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -9,7 +9,7 @@
 use smol::Timer;
 
 use super::BudgetManager;
-use super::LINE_CHECK_INTERVAL;
+use super::LIMIT_CHECK_INTERVAL;
 use super::calls::DecodedRow;
 use super::calls::encode;
 use super::retry_delay;
@@ -34,7 +34,7 @@
 
     /// Tries to begin this boot; true once the store has confirmed it.
     pub(super) async fn try_start_boot(&self) -> bool {
-        if !self.read_lines().await {
+        if !self.read_limits().await {
             return false;
         }
         if self.book.borrow().boot() > 0 {
@@ -44,7 +44,7 @@
             return false;
         };
         self.log_previous_boot();
-        self.store_lines(row).await && self.book.borrow().boot() > 0
+        self.store_limits(row).await && self.book.borrow().boot() > 0
     }
 
     /// Logs the most that the previous boot can have spent, by its last row.
@@ -67,12 +67,12 @@
     }
 
     /// Keeps the row of spending limits up to date.
-    pub(super) async fn maintain_lines(&self) {
+    pub(super) async fn maintain_limits(&self) {
         loop {
-            let wakeup = self.line_wakeup.listen();
-            let done = self.write_due_lines().await;
+            let wakeup = self.limit_wakeup.listen();
+            let done = self.write_due_limits().await;
             if done {
-                wait_until(wakeup, LINE_CHECK_INTERVAL).await;
+                wait_until(wakeup, LIMIT_CHECK_INTERVAL).await;
             } else {
                 Timer::after(retry_delay()).await;
             }
@@ -80,25 +80,25 @@
     }
 
     /// Writes the row if that is due; false if a call to the store failed.
-    pub(super) async fn write_due_lines(&self) -> bool {
-        if self.book.borrow().lines_unsure() && !self.read_lines().await {
+    pub(super) async fn write_due_limits(&self) -> bool {
+        if self.book.borrow().lines_unsure() && !self.read_limits().await {
             return false;
         }
         let Some(row) = self.book.borrow().next_lines(self.clock.now()) else {
             return true;
         };
-        self.store_lines(row).await
+        self.store_limits(row).await
     }
 
-    pub(super) async fn read_lines(&self) -> bool {
-        let Some(state) = self.read_row("lines", self.line_key()).await else {
+    pub(super) async fn read_limits(&self) -> bool {
+        let Some(state) = self.read_row("lines", self.limit_key()).await else {
             return false;
         };
-        self.apply_lines(&state)
+        self.apply_limits(&state)
     }
 
-    pub(super) fn apply_lines(&self, state: &RowState) -> bool {
-        let DecodedRow::Readable(row) = self.decode::<LineRow>(&self.line_key(), state) else {
+    pub(super) fn apply_limits(&self, state: &RowState) -> bool {
+        let DecodedRow::Readable(row) = self.decode::<LineRow>(&self.limit_key(), state) else {
             return false;
         };
         let own = self.book.borrow_mut().saw_lines(state.version, row);
@@ -112,14 +112,14 @@
         own
     }
 
-    pub(super) async fn store_lines(&self, row: LineRow) -> bool {
+    pub(super) async fn store_limits(&self, row: LineRow) -> bool {
         let Some(bytes) = encode(&row) else {
             return false;
         };
         let version = self.book.borrow().lines_version();
         self.book.borrow_mut().sent_lines(row, self.clock.now());
         let answer = self
-            .write_row("lines", self.line_key(), version, bytes)
+            .write_row("lines", self.limit_key(), version, bytes)
             .await;
         metrics::counter!("guavawell_forward_line_writes_total").increment(1);
         match answer {
@@ -130,7 +130,7 @@
             }
             Ok(WriteAnswer::Changed(state)) => {
                 self.book.borrow_mut().dropped_lines();
-                self.apply_lines(&state)
+                self.apply_limits(&state)
             }
             Err(StoreFault::NotDone(_) | StoreFault::Limited | StoreFault::HistoryGone) => {
                 self.book.borrow_mut().dropped_lines();
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -34,7 +34,7 @@
 
 use crate::clock::SteadyClock;
 use crate::clock::wait_until;
-use crate::peer::PeerDesk;
+use crate::peer::PeerRegistry;
 use crate::poison::PoisonTracker;
 use crate::store::RowStore;
 
@@ -42,7 +42,7 @@
 pub use reserve::TokenReservation;
 
 /// Table of the spending limits: one row an instance.
-const LINE_TABLE: &str = "guavawell_lines";
+const LIMIT_TABLE: &str = "guavawell_lines";
 /// Table of the organisations' budgets: one row an organisation.
 const BUDGET_TABLE: &str = "guavawell_budgets";
 /// Table of the running instances; all its rows are in [`PEER_PART`].
@@ -52,7 +52,7 @@
 /// Key of the single row in each part of the other tables.
 const ROW_KEY: &str = "row";
 /// Interval between checks whether the row of spending limits must be written.
-const LINE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between checks whether a budget's row must be written or read.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between polls for other instances' writes to budget rows.
@@ -85,14 +85,14 @@
     /// Availability zone of this instance.
     zone: ZoneId,
     /// The other instances.
-    peers: Rc<PeerDesk>,
+    peers: Rc<PeerRegistry>,
     /// Requests suspected of crashing servers; instances share them directly.
     poison: Rc<PoisonTracker>,
     book: RefCell<GrantBook>,
     /// Notified when a change in the book may let a waiting reservation succeed.
     changed: Event,
     /// Notified when the spending limits may have to be written.
-    line_wakeup: Event,
+    limit_wakeup: Event,
     /// Notified when budget rows may have to be written, or a budget is new.
     budget_wakeup: Event,
     /// Moving average of the store's response time, in milliseconds.
@@ -116,7 +116,7 @@
         log: EventLog,
         store: RowStore,
         poison: Rc<PoisonTracker>,
-        peers: Rc<PeerDesk>,
+        peers: Rc<PeerRegistry>,
     ) -> Self {
         let nonce = fastrand::u64(1..);
         Self {
@@ -134,7 +134,7 @@
             peers,
             poison,
             changed: Event::new(),
-            line_wakeup: Event::new(),
+            limit_wakeup: Event::new(),
             budget_wakeup: Event::new(),
             mean_latency_ms: Cell::new(20),
             newest_version: Cell::new(0),
@@ -145,7 +145,7 @@
 
     /// The other instances.
     #[must_use]
-    pub const fn peers(&self) -> &Rc<PeerDesk> {
+    pub const fn peers(&self) -> &Rc<PeerRegistry> {
         &self.peers
     }
 
@@ -203,7 +203,7 @@
             task_executor
                 .spawn(async move { change_manager.poll_changes().await })
                 .detach();
-            manager.maintain_lines().await;
+            manager.maintain_limits().await;
         };
         executor.spawn(startup).detach();
     }
--- a/crates/guavawell-forward/src/budget/peers.rs
+++ b/crates/guavawell-forward/src/budget/peers.rs
@@ -19,7 +19,7 @@
 use super::PEER_TABLE;
 use super::calls::encode;
 use super::retry_delay;
-use crate::peer::PeerSeat;
+use crate::peer::PeerEndpoint;
 use crate::store::KeyedRows;
 use crate::store::RowKey;
 use crate::store::WriteAnswer;
@@ -105,7 +105,7 @@
     }
 
     fn apply_peers(&self, rows: &KeyedRows) {
-        let mut seats = Vec::with_capacity(rows.len());
+        let mut endpoints = Vec::with_capacity(rows.len());
         for (key, state) in rows {
             let value = state.value.as_deref().unwrap_or_default();
             let row = decode_row::<PeerRow>(value);
@@ -118,14 +118,17 @@
             };
             let zone = row.zone;
             let member = FleetMember { instance, zone };
-            seats.push(PeerSeat { member, address });
+            endpoints.push(PeerEndpoint { member, address });
         }
-        let mut fleet: Vec<FleetMember> = seats.iter().map(|seat| seat.member.clone()).collect();
+        let mut fleet: Vec<FleetMember> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.member.clone())
+            .collect();
         fleet.push(FleetMember {
             instance: self.instance.clone(),
             zone: self.zone.clone(),
         });
-        self.peers.set_seats(seats);
+        self.peers.set_endpoints(endpoints);
         self.book.borrow_mut().set_fleet(fleet);
         self.budget_wakeup.notify(usize::MAX);
     }
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -330,7 +330,7 @@
     /// Wakes the tasks that write rows, because a request waits for tokens.
     pub(super) fn wake_writers(&self) {
         self.budget_wakeup.notify(usize::MAX);
-        self.line_wakeup.notify(usize::MAX);
+        self.limit_wakeup.notify(usize::MAX);
     }
 
     /// Whether calls to the store have failed for at least the shortest time that a
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -138,7 +138,7 @@
     /// earlier answer already named a version after `since`.
     async fn newest_version_after(&self, since: u64) -> u64 {
         if self.newest_version.get() <= since {
-            self.read_row("newest", self.line_key()).await;
+            self.read_row("newest", self.limit_key()).await;
         }
         self.newest_version.get().max(since)
     }
@@ -238,7 +238,7 @@
             Ok(WriteAnswer::Done(version, _)) => {
                 self.book.borrow_mut().wrote_budget(id, version);
                 self.changed.notify(usize::MAX);
-                self.line_wakeup.notify(usize::MAX);
+                self.limit_wakeup.notify(usize::MAX);
                 self.log_grant(id, before, version);
                 WriteOutcome::Written
             }
--- a/crates/guavawell-forward/src/budget/suspects.rs
+++ b/crates/guavawell-forward/src/budget/suspects.rs
@@ -9,7 +9,7 @@
 use smol::LocalExecutor;
 
 use super::BudgetManager;
-use crate::peer::PeerQuestion;
+use crate::peer::PeerRequest;
 
 /// Timeout of a broadcast to one instance. An instance that misses it reads the
 /// suspicions from the store.
@@ -40,8 +40,8 @@
     }
 
     fn broadcasts_all(&self) -> bool {
-        let few = self.peers.count() < SMALL_FLEET_PEERS;
-        few || self.failing_since.get().is_some()
+        let small_fleet = self.peers.count() < SMALL_FLEET_PEERS;
+        small_fleet || self.failing_since.get().is_some()
     }
 
     async fn send_suspects(self: Rc<Self>, address: SocketAddr, entries: Vec<SharedSuspicion>) {
@@ -49,8 +49,10 @@
             told_at: None,
             entries,
         };
-        let question = PeerQuestion::Suspects(list);
-        let sent = self.peers.ask(address, &question, BROADCAST_TIMEOUT);
+        let request = PeerRequest::Suspects(list);
+        let sent = self
+            .peers
+            .send_request(address, &request, BROADCAST_TIMEOUT);
         if let Err(error) = sent.await {
             metrics::counter!("guavawell_forward_suspects_untold_total").increment(1);
             log::debug!("sending suspects to {address} failed: {error}");
--- a/crates/guavawell-forward/src/config/others.rs
+++ b/crates/guavawell-forward/src/config/others.rs
@@ -85,7 +85,7 @@
     let known = router.configs.version();
     let answer = router
         .peers
-        .ask_config(address, known, HEAD_TIMEOUT)
+        .fetch_config(address, known, HEAD_TIMEOUT)
         .await?;
     Ok(ReceivedConfig {
         instance,
--- a/crates/guavawell-forward/src/peer/channels.rs
+++ b/crates/guavawell-forward/src/peer/channels.rs
@@ -7,10 +7,10 @@
 
 use super::FleetKey;
 use super::PeerError;
-use super::PeerQuestion;
-use super::question::HEAD_BYTES;
+use super::PeerRequest;
+use super::question::CONFIG_VERSION_FIELD;
+use super::question::MAX_HEAD_BYTES;
 use super::question::NONCE_FIELD;
-use super::question::VERSION_FIELD;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
@@ -18,16 +18,16 @@
 use crate::http::within;
 
 /// Connections to other instances that are kept between questions.
-const MAX_IDLE: usize = 48;
+const MAX_IDLE_CHANNELS: usize = 48;
 /// Longest wait for the body of an answer: the largest configuration over a small
 /// instance's link.
-const BODY_LIMIT: Duration = Duration::from_secs(6);
+const BODY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Largest body of an answer, in bytes: as large as the store's.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// What another instance answered.
 #[derive(Debug)]
-pub(crate) struct PeerAnswer {
+pub(crate) struct PeerResponse {
     /// The answer's head.
     pub(crate) head: ResponseHead,
     /// Its body.
@@ -43,49 +43,49 @@
 impl PeerChannels {
     /// Asks one question, once; `limit` is for the answer's head. `version` is
     /// that of the configuration in force here.
-    pub(crate) async fn ask(
+    pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
-        question: &PeerQuestion,
+        request: &PeerRequest,
         key: FleetKey,
         version: u64,
         limit: Duration,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let nonce = fastrand::u64(..);
         let exchange = async {
             let mut channel = match self.take_idle(address) {
                 Some(channel) => channel,
                 None => HttpChannel::connect(address, limit).await?,
             };
-            let mut writer = HeadWriter::request("POST", &question.target());
+            let mut writer = HeadWriter::request("POST", &request.target());
             writer.field_of("Host", address);
             writer.field_of(NONCE_FIELD, nonce);
-            writer.field_of(VERSION_FIELD, version);
-            let body = question.body();
+            writer.field_of(CONFIG_VERSION_FIELD, version);
+            let body = request.body();
             writer.field_of("Content-Length", body.len());
             channel.send(&key.seal(writer, nonce, &body)).await?;
-            let length = channel.head(HEAD_BYTES).await?;
+            let length = channel.head(MAX_HEAD_BYTES).await?;
             let bytes = channel.received()[..length].to_vec();
             channel.consume(length);
             Ok((bytes, channel))
         };
         let (bytes, mut channel) = within(limit, exchange).await?;
         let head = ResponseHead::parse(&bytes, false).map_err(ChannelError::Head)?;
-        let body = within(BODY_LIMIT, channel.body(head.framing, BODY_BYTES)).await?;
-        if !key.is_proved(&bytes, nonce, &body) {
-            return Err(PeerError::Unproved(head.status));
+        let body = within(BODY_TIMEOUT, channel.body(head.framing, MAX_BODY_BYTES)).await?;
+        if !key.verify(&bytes, nonce, &body) {
+            return Err(PeerError::Unauthenticated(head.status));
         }
         let mut idle = self.idle.borrow_mut();
-        if head.keep && idle.len() < MAX_IDLE {
+        if head.keep && idle.len() < MAX_IDLE_CHANNELS {
             idle.push((address, channel));
         }
-        Ok(PeerAnswer { head, body })
+        Ok(PeerResponse { head, body })
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<HttpChannel> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(place) = idle.iter().rposition(|(held, _)| *held == address) {
-            let (_, channel) = idle.swap_remove(place);
+        while let Some(index) = idle.iter().rposition(|(known, _)| *known == address) {
+            let (_, channel) = idle.swap_remove(index);
             if channel.is_quiet() {
                 return Some(channel);
             }
--- a/crates/guavawell-forward/src/peer/key.rs
+++ b/crates/guavawell-forward/src/peer/key.rs
@@ -51,13 +51,14 @@
 
     /// Whether a message, with its head as it was received, bears the proof.
     #[must_use]
-    pub fn is_proved(self, head: &[u8], nonce: u64, body: &[u8]) -> bool {
+    pub fn verify(self, head: &[u8], nonce: u64, body: &[u8]) -> bool {
         let length = PROOF_FIELD.len() + ": \r\n\r\n".len() + PROOF_DIGITS;
-        let Some((before, told)) = head.split_at_checked(head.len().saturating_sub(length)) else {
+        let Some((before, received)) = head.split_at_checked(head.len().saturating_sub(length))
+        else {
             return false;
         };
         let proof = self.proof(nonce, before, body);
-        told == format!("{PROOF_FIELD}: {proof}\r\n\r\n").as_bytes()
+        received == format!("{PROOF_FIELD}: {proof}\r\n\r\n").as_bytes()
     }
 
     fn proof(self, nonce: u64, head: &[u8], body: &[u8]) -> String {
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -19,8 +19,8 @@
 use guavawell_core::id::ZoneId;
 use thiserror::Error;
 
-use self::channels::PeerAnswer;
 use self::channels::PeerChannels;
+use self::channels::PeerResponse;
 use self::question::read_config;
 use self::question::write_config;
 use crate::clock::SteadyClock;
@@ -30,18 +30,18 @@
 use crate::http::HeadWriter;
 
 pub use self::key::FleetKey;
-pub(crate) use self::question::PeerQuestion;
-pub(crate) use self::question::ReceivedQuestion;
-pub(crate) use self::question::VERSION_FIELD;
-pub(crate) use self::question::read_answer;
-pub(crate) use self::question::write_answer;
+pub(crate) use self::question::CONFIG_VERSION_FIELD;
+pub(crate) use self::question::PeerRequest;
+pub(crate) use self::question::ReceivedRequest;
+pub(crate) use self::question::read_loan_answer;
+pub(crate) use self::question::write_loan_answer;
 
 /// How long an instance that did not answer is not asked again: a question to
 /// one that is cut off costs its whole time limit. Doubled with each further
 /// one that it does not answer.
-const AVOID: ClockSpan = ClockSpan::from_millis(1_000);
-/// Doublings of [`AVOID`] at most: one that is back is found within seconds.
-const MAX_DOUBLINGS: u32 = 3;
+const UNREACHABLE_BACKOFF: ClockSpan = ClockSpan::from_millis(1_000);
+/// Doublings of [`UNREACHABLE_BACKOFF`] at most: one that is back is found within seconds.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Field by which an operator shows the fleet's key.
 pub const KEY_FIELD: &str = "Key";
@@ -57,7 +57,7 @@
     NoKey,
     /// Whoever answered did not prove to know the fleet's key.
     #[error("an answer with status {0} that bears no proof of the fleet's key")]
-    Unproved(u16),
+    Unauthenticated(u16),
     /// The instance knows no configuration.
     #[error("no configuration is known there")]
     NoConfig,
@@ -65,7 +65,7 @@
 
 /// An instance and where it answers others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerSeat {
+pub struct PeerEndpoint {
     /// The instance.
     pub member: FleetMember,
     /// Where it answers.
@@ -75,22 +75,22 @@
 /// Another instance.
 #[derive(Clone, Debug)]
 struct PeerEntry {
-    seat: PeerSeat,
+    endpoint: PeerEndpoint,
     /// It is not asked before this time.
-    avoided_until: ClockTime,
+    backoff_until: ClockTime,
     /// Questions in a row that it did not answer.
-    misses: u32,
+    failures: u32,
 }
 
 impl PeerEntry {
     const fn instance(&self) -> &InstanceId {
-        &self.seat.member.instance
+        &self.endpoint.member.instance
     }
 }
 
 /// The other instances, as this process knows them.
 #[derive(Debug)]
-pub struct PeerDesk {
+pub struct PeerRegistry {
     clock: SteadyClock,
     /// The own availability zone.
     own_zone: ZoneId,
@@ -105,7 +105,7 @@
     configs: Rc<ConfigTracker>,
 }
 
-impl PeerDesk {
+impl PeerRegistry {
     /// A desk that knows no other instance yet.
     #[must_use]
     pub fn new(
@@ -144,23 +144,23 @@
 
     /// Whether an operator shows the fleet's key.
     #[must_use]
-    pub fn knows_key(&self, text: Option<&str>) -> bool {
+    pub fn matches_key(&self, text: Option<&str>) -> bool {
         let key = self.key.get();
         key.is_some_and(|key| text == Some(key.text().as_str()))
     }
 
     /// The other instances were read; what is known of how they answer stays.
-    pub(crate) fn set_seats(&self, seats: Vec<PeerSeat>) {
+    pub(crate) fn set_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let mut known = self.peers.borrow_mut();
-        let entry = |seat: PeerSeat| {
-            let before = known.iter().find(|peer| peer.seat == seat);
+        let entry = |endpoint: PeerEndpoint| {
+            let previous = known.iter().find(|peer| peer.endpoint == endpoint);
             PeerEntry {
-                avoided_until: before.map_or(ClockTime::default(), |peer| peer.avoided_until),
-                misses: before.map_or(0, |peer| peer.misses),
-                seat,
+                backoff_until: previous.map_or(ClockTime::default(), |peer| peer.backoff_until),
+                failures: previous.map_or(0, |peer| peer.failures),
+                endpoint,
             }
         };
-        let mut peers: Vec<PeerEntry> = seats.into_iter().map(entry).collect();
+        let mut peers: Vec<PeerEntry> = endpoints.into_iter().map(entry).collect();
         peers.sort_by(|one, other| one.instance().cmp(other.instance()));
         *known = peers;
     }
@@ -171,34 +171,36 @@
     }
 
     /// Asks one question, once; `limit` is for the answer's head.
-    pub(crate) async fn ask(
+    pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
-        question: &PeerQuestion,
+        request: &PeerRequest,
         limit: Duration,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let key = self.key.get().ok_or(PeerError::NoKey)?;
         let version = self.configs.version();
-        let asked = self.channels.ask(address, question, key, version, limit);
-        let answer = asked.await?;
-        self.hear_version(answer.head.fields.get(VERSION_FIELD));
-        Ok(answer)
+        let response = self
+            .channels
+            .send_request(address, request, key, version, limit);
+        let response = response.await?;
+        self.receive_version(response.head.fields.get(CONFIG_VERSION_FIELD));
+        Ok(response)
     }
 
     /// Asks an instance for the configuration, if it has one newer than `known`.
-    pub(crate) async fn ask_config(
+    pub(crate) async fn fetch_config(
         &self,
         address: SocketAddr,
         known: u64,
         limit: Duration,
     ) -> Result<PeerConfig, PeerError> {
-        let question = PeerQuestion::Config(known);
-        let answer = self.ask(address, &question, limit).await?;
-        read_config(&answer.head, answer.body).ok_or(PeerError::NoConfig)
+        let request = PeerRequest::Config(known);
+        let response = self.send_request(address, &request, limit).await?;
+        read_config(&response.head, response.body).ok_or(PeerError::NoConfig)
     }
 
     /// Answers a question for the configuration; returns the answer's body.
-    pub(crate) fn tell_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
+    pub(crate) fn answer_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
         let Some(answer) = self.configs.answer_peer(known) else {
             return Vec::new();
         };
@@ -207,7 +209,7 @@
     }
 
     /// A message named the version in force at another instance.
-    pub(crate) fn hear_version(&self, text: Option<&str>) {
+    pub(crate) fn receive_version(&self, text: Option<&str>) {
         if let Some(version) = text.and_then(|text| text.parse().ok()) {
             self.configs.observe_version(version);
         }
@@ -215,30 +217,31 @@
 
     /// Names the version in force here.
     pub(crate) fn write_version(&self, writer: &mut HeadWriter) {
-        writer.field_of(VERSION_FIELD, self.configs.version());
+        writer.field_of(CONFIG_VERSION_FIELD, self.configs.version());
     }
 
     /// The zone of another instance.
     pub(crate) fn zone_of(&self, instance: &InstanceId) -> Option<ZoneId> {
         let peers = self.peers.borrow();
-        let place = peers.binary_search_by(|peer| peer.instance().cmp(instance));
-        Some(peers[place.ok()?].seat.member.zone.clone())
+        let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
+        Some(peers[index.ok()?].endpoint.member.zone.clone())
     }
 
     /// Where an instance answers, unless it lately did not.
     pub(crate) fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
-        let place = peers.binary_search_by(|peer| peer.instance().cmp(instance));
-        let peer = &peers[place.ok()?];
-        (self.clock.now() >= peer.avoided_until).then_some(peer.seat.address)
+        let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
+        let peer = &peers[index.ok()?];
+        (self.clock.now() >= peer.backoff_until).then_some(peer.endpoint.address)
     }
 
     /// All instances that answer, but for those that lately did not.
     pub(crate) fn addresses(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
         let peers = self.peers.borrow();
-        let able = peers.iter().filter(|peer| now >= peer.avoided_until);
-        able.map(|peer| (peer.instance().clone(), peer.seat.address))
+        let reachable = peers.iter().filter(|peer| now >= peer.backoff_until);
+        reachable
+            .map(|peer| (peer.instance().clone(), peer.endpoint.address))
             .collect()
     }
 
@@ -249,38 +252,38 @@
         let now = self.clock.now();
         let mut peers: Vec<PeerEntry> = self.peers.borrow().clone();
         fastrand::shuffle(&mut peers);
-        peers.sort_by_key(|peer| now < peer.avoided_until);
-        let near = peers
+        peers.sort_by_key(|peer| now < peer.backoff_until);
+        let local = peers
             .iter()
-            .position(|peer| peer.seat.member.zone == self.own_zone);
-        if let Some(near) = near {
-            peers[..=near].rotate_right(1);
+            .position(|peer| peer.endpoint.member.zone == self.own_zone);
+        if let Some(local) = local {
+            peers[..=local].rotate_right(1);
         }
-        let seats = peers.into_iter().map(|peer| peer.seat);
-        seats
-            .map(|seat| (seat.member.instance, seat.address))
+        let endpoints = peers.into_iter().map(|peer| peer.endpoint);
+        endpoints
+            .map(|endpoint| (endpoint.member.instance, endpoint.address))
             .collect()
     }
 
     /// An instance did not answer.
-    pub(crate) fn avoid(&self, instance: &InstanceId) {
+    pub(crate) fn mark_unreachable(&self, instance: &InstanceId) {
         let now = self.clock.now();
-        self.change(instance, |peer| {
-            let span = AVOID.as_millis() << peer.misses.min(MAX_DOUBLINGS);
-            peer.avoided_until = now + ClockSpan::from_millis(span);
-            peer.misses += 1;
+        self.update(instance, |peer| {
+            let span = UNREACHABLE_BACKOFF.as_millis() << peer.failures.min(MAX_BACKOFF_DOUBLINGS);
+            peer.backoff_until = now + ClockSpan::from_millis(span);
+            peer.failures += 1;
         });
     }
 
     /// An instance answered.
-    pub(crate) fn reached(&self, instance: &InstanceId) {
-        self.change(instance, |peer| peer.misses = 0);
+    pub(crate) fn mark_reachable(&self, instance: &InstanceId) {
+        self.update(instance, |peer| peer.failures = 0);
     }
 
-    fn change(&self, instance: &InstanceId, change: impl FnOnce(&mut PeerEntry)) {
+    fn update(&self, instance: &InstanceId, update: impl FnOnce(&mut PeerEntry)) {
         let mut peers = self.peers.borrow_mut();
-        if let Ok(place) = peers.binary_search_by(|peer| peer.instance().cmp(instance)) {
-            change(&mut peers[place]);
+        if let Ok(index) = peers.binary_search_by(|peer| peer.instance().cmp(instance)) {
+            update(&mut peers[index]);
         }
     }
 }
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -22,7 +22,7 @@
 use crate::http::ResponseHead;
 
 /// Largest head of a question or an answer, in bytes.
-pub(crate) const HEAD_BYTES: usize = 4 * 1024;
+pub(crate) const MAX_HEAD_BYTES: usize = 4 * 1024;
 /// First segment of the target of a question for tokens.
 const LOAN_PATH: &str = "loan";
 /// First segment of the target of an account of lent tokens.
@@ -32,7 +32,7 @@
 /// First segment of the target of a question for the configuration.
 const CONFIG_PATH: &str = "config";
 /// Largest body of a question, in bytes: a whole list of suspects.
-const BODY_BYTES: usize = 32 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024;
 /// Second segment where the asker holds tokens too.
 const SPARE_SCOPE: &str = "spare";
 /// Second segment where the asker holds none.
@@ -40,21 +40,21 @@
 /// Field of a question that holds the number drawn for it.
 pub(crate) const NONCE_FIELD: &str = "Nonce";
 /// Field of questions and answers that names the version in force there.
-pub(crate) const VERSION_FIELD: &str = "Config";
+pub(crate) const CONFIG_VERSION_FIELD: &str = "Config";
 /// Field of an answer that names the version that the store told.
-const STORED_FIELD: &str = "Stored";
+const STORED_VERSION_FIELD: &str = "Stored";
 /// Field of an answer that says how many milliseconds ago it was the newest.
-const AGE_FIELD: &str = "Age";
+const CONFIG_AGE_FIELD: &str = "Age";
 /// Field of an answer that says how many tokens were lent.
 const LENT_FIELD: &str = "Lent";
 /// Field of an answer that says why none were lent.
 const CAUSE_FIELD: &str = "Cause";
 /// Field of an answer that names the life of the process that lent.
-const LIFE_FIELD: &str = "Life";
+const LENDER_NONCE_FIELD: &str = "Life";
 
 /// What one instance asks another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum PeerQuestion {
+pub(crate) enum PeerRequest {
     /// Lend tokens.
     Loan(OrganisationId, LoanAsk),
     /// Take in an account of lent tokens.
@@ -65,7 +65,7 @@
     Config(u64),
 }
 
-impl PeerQuestion {
+impl PeerRequest {
     /// The question as the target of a request.
     pub(crate) fn target(&self) -> String {
         match self {
@@ -101,7 +101,7 @@
     /// none.
     pub(crate) fn parse(target: &str, body: &[u8], own: &InstanceId) -> Option<Self> {
         let mut parts = target.strip_prefix('/')?.split('/');
-        let question = match parts.next()? {
+        let request = match parts.next()? {
             LOAN_PATH => {
                 let scope = match parts.next()? {
                     SPARE_SCOPE => LoanScope::Spare,
@@ -140,22 +140,22 @@
             CONFIG_PATH => Self::Config(parts.next()?.parse().ok()?),
             _ => return None,
         };
-        parts.next().is_none().then_some(question)
+        parts.next().is_none().then_some(request)
     }
 }
 
 /// Writes an answer to a question for tokens.
-pub(crate) fn write_answer(writer: &mut HeadWriter, answer: LoanAnswer, nonce: u64) {
+pub(crate) fn write_loan_answer(writer: &mut HeadWriter, answer: LoanAnswer, nonce: u64) {
     writer.field_of(LENT_FIELD, answer.tokens);
     writer.field_of(CAUSE_FIELD, answer.cause.as_str());
-    writer.field_of(LIFE_FIELD, nonce);
+    writer.field_of(LENDER_NONCE_FIELD, nonce);
 }
 
 /// Reads an answer to a question for tokens: what was lent, by which life of
 /// the process.
-pub(crate) fn read_answer(head: &ResponseHead) -> Option<(LoanAnswer, u64)> {
+pub(crate) fn read_loan_answer(head: &ResponseHead) -> Option<(LoanAnswer, u64)> {
     let tokens = head.fields.get(LENT_FIELD)?.parse().ok()?;
-    let nonce = head.fields.get(LIFE_FIELD)?.parse().ok()?;
+    let nonce = head.fields.get(LENDER_NONCE_FIELD)?.parse().ok()?;
     let cause = head.fields.get(CAUSE_FIELD)?.parse().ok();
     let answer = LoanAnswer {
         tokens,
@@ -166,14 +166,14 @@
 
 /// Writes what is told of the configuration.
 pub(crate) fn write_config(writer: &mut HeadWriter, answer: &PeerConfig) {
-    writer.field_of(STORED_FIELD, answer.version);
-    writer.field_of(AGE_FIELD, answer.age.as_millis());
+    writer.field_of(STORED_VERSION_FIELD, answer.version);
+    writer.field_of(CONFIG_AGE_FIELD, answer.age.as_millis());
 }
 
 /// Reads what is told of the configuration.
 pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<PeerConfig> {
-    let version = head.fields.get(STORED_FIELD)?.parse().ok()?;
-    let age = head.fields.get(AGE_FIELD)?.parse().ok()?;
+    let version = head.fields.get(STORED_VERSION_FIELD)?.parse().ok()?;
+    let age = head.fields.get(CONFIG_AGE_FIELD)?.parse().ok()?;
     Some(PeerConfig {
         version,
         age: ClockSpan::from_millis(age),
@@ -182,7 +182,7 @@
 }
 
 /// A question as it was received.
-pub(crate) struct ReceivedQuestion {
+pub(crate) struct ReceivedRequest {
     /// Its head.
     pub(crate) head: RequestHead,
     /// The bytes of its head.
@@ -191,21 +191,21 @@
     pub(crate) body: Vec<u8>,
 }
 
-impl ReceivedQuestion {
+impl ReceivedRequest {
     /// Reads one question.
     pub(crate) async fn read(channel: &mut HttpChannel) -> Result<Self, ChannelError> {
-        let length = channel.head(HEAD_BYTES).await?;
+        let length = channel.head(MAX_HEAD_BYTES).await?;
         let bytes = channel.received()[..length].to_vec();
         let head = RequestHead::parse(&bytes)?;
         channel.consume(length);
-        let body = channel.body(head.framing, BODY_BYTES).await?;
+        let body = channel.body(head.framing, MAX_BODY_BYTES).await?;
         Ok(Self { head, bytes, body })
     }
 
     /// The number that the asker drew, if the question bears the key's proof.
-    pub(crate) fn proved_nonce(&self, key: FleetKey) -> Option<u64> {
+    pub(crate) fn authenticated_nonce(&self, key: FleetKey) -> Option<u64> {
         let nonce = self.head.fields.get(NONCE_FIELD)?.parse().ok()?;
-        let proved = key.is_proved(&self.bytes, nonce, &self.body);
-        proved.then_some(nonce)
+        let verified = key.verify(&self.bytes, nonce, &self.body);
+        verified.then_some(nonce)
     }
 }
--- a/crates/guavawell-forward/src/ready.rs
+++ b/crates/guavawell-forward/src/ready.rs
@@ -86,7 +86,7 @@
 /// Takes back what is believed of a request, if the fleet's key comes with the
 /// demand.
 fn acquit(router: &ForwardRouter, head: &RequestHead) -> (u16, String) {
-    if !router.peers.knows_key(head.fields.get(KEY_FIELD)) {
+    if !router.peers.matches_key(head.fields.get(KEY_FIELD)) {
         return (
             403,
             format!("send the fleet's key in the field {KEY_FIELD}\n"),
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -28,7 +28,7 @@
 use crate::config::ConfigTracker;
 use crate::config::FetchedConfig;
 use crate::crash::CrashChecks;
-use crate::peer::PeerDesk;
+use crate::peer::PeerRegistry;
 use crate::poison::PoisonTracker;
 use crate::pool::ConnectionPool;
 use crate::settings::ForwardSettings;
@@ -78,7 +78,7 @@
     /// Idle connections to servers.
     pub pool: RefCell<ConnectionPool>,
     /// The other instances.
-    pub peers: Rc<PeerDesk>,
+    pub peers: Rc<PeerRegistry>,
     /// Budgets.
     pub budgets: Rc<BudgetManager>,
     /// Requests that crash servers.
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -24,7 +24,7 @@
 use guavawell_forward::config::ConfigTracker;
 use guavawell_forward::config::FetchedConfig;
 use guavawell_forward::names::FieldNames;
-use guavawell_forward::peer::PeerDesk;
+use guavawell_forward::peer::PeerRegistry;
 use guavawell_forward::poison::PoisonTracker;
 use guavawell_forward::router::ForwardRouter;
 use guavawell_forward::settings::ForwardSettings;
@@ -82,7 +82,7 @@
         log.clone(),
         decode,
     ));
-    let peers = Rc::new(PeerDesk::new(
+    let peers = Rc::new(PeerRegistry::new(
         clock,
         member.zone.clone(),
         None,
