--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -1,8 +1,8 @@
 //! The instance's row of spending limits, which bounds what this boot can have
 //! spent.
 //!
-//! It holds one line for each organisation: the tokens that may have been spent
-//! as a function of the time since the row was written.
+//! For each organisation the limit is a function of the time since the row was
+//! written, so that the instance can go on spending while the store is out of reach.
 
 use guavawell_core::grant::LineRow;
 use guavawell_fleet::event::EventDraft;
--- a/crates/guavawell-forward/src/peer/channels.rs
+++ b/crates/guavawell-forward/src/peer/channels.rs
@@ -1,5 +1,5 @@
-//! Connections to other instances. They are kept: in a large fleet most requests
-//! need a question.
+//! Connections to other instances. They are kept open between requests: in a large
+//! fleet most callers' requests need a loan from another instance.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,32 +17,32 @@
 use crate::http::ResponseHead;
 use crate::http::within;
 
-/// Connections to other instances that are kept between questions.
+/// Largest number of idle connections that are kept.
 const MAX_IDLE_CHANNELS: usize = 48;
-/// Longest wait for the body of an answer: the largest configuration over a small
-/// instance's link.
+/// Timeout for a response body: enough for the largest configuration over the link
+/// of a small instance.
 const BODY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Largest body of an answer, in bytes: as large as the store's.
+/// Largest response body, in bytes: the same as for the store.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What another instance answered.
+/// A response of another instance.
 #[derive(Debug)]
 pub(crate) struct PeerResponse {
-    /// The answer's head.
+    /// The response head.
     pub(crate) head: ResponseHead,
-    /// Its body.
+    /// The response body.
     pub(crate) body: Vec<u8>,
 }
 
-/// Connections to other instances.
+/// Idle connections to other instances.
 #[derive(Debug, Default)]
 pub(crate) struct PeerChannels {
     idle: RefCell<Vec<(SocketAddr, HttpChannel)>>,
 }
 
 impl PeerChannels {
-    /// Asks one question, once; `limit` is for the answer's head. `version` is
-    /// that of the configuration in force here.
+    /// Sends a request, without a retry. `limit` is the timeout for the response head,
+    /// and `version` that of the configuration in force here.
     pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
--- a/crates/guavawell-forward/src/peer/key.rs
+++ b/crates/guavawell-forward/src/peer/key.rs
@@ -1,10 +1,9 @@
-//! The key by which instances know each other, and the proof that a message
-//! bears of it.
+//! Authentication of messages between instances with the fleet's key.
 //!
-//! A message never shows the key: an address may by now belong to a process of
-//! somebody else. Its head ends with a proof over all that comes before, a number
-//! that the asker drew for the question, and the body; an answer's proof is over
-//! the question's number, so that it answers no other one.
+//! A message never contains the key, because the address that it is sent to may
+//! meanwhile belong to an unrelated process. Instead its head ends with a proof, a
+//! keyed hash over the request's nonce, the preceding head and the body. A response
+//! is hashed with the nonce of its request, so that it is valid for no other one.
 
 use std::fmt;
 
@@ -13,33 +12,31 @@
 
 use crate::http::HeadWriter;
 
-/// Context of the hash, so that it equals no other hash of the same bytes.
+/// Key derivation context, which separates these hashes from all other uses.
 const CONTEXT: &str = "guavawell message between instances";
-/// Field that ends the head of every message.
+/// Header field of the proof, the last one in the head of every message.
 const PROOF_FIELD: &str = "Proof";
-/// Hexadecimal digits of a proof.
+/// Length of a proof in hexadecimal digits.
 const PROOF_DIGITS: usize = 32;
 
-/// The fleet's key. Only the fleet's instances can read it: it lies in the
-/// platform's store.
+/// The fleet's key, which only its instances can read from the platform's store.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetKey(u128);
 
 impl FleetKey {
-    /// A new key.
+    /// Creates a random key.
     #[must_use]
     pub fn draw() -> Self {
         Self(fastrand::u128(1..))
     }
 
-    /// The key as a header field's value, by which an operator proves that they
-    /// can read it.
+    /// The key in hexadecimal, as an operator sends it in a header field.
     #[must_use]
     pub fn text(self) -> String {
         format!("{:032x}", self.0)
     }
 
-    /// The bytes of a message with its proof.
+    /// Finishes a message: the head, its proof and the body.
     #[must_use]
     pub fn seal(self, writer: HeadWriter, nonce: u64, body: &[u8]) -> Vec<u8> {
         let mut bytes = writer.unfinished();
@@ -49,7 +46,7 @@
         bytes
     }
 
-    /// Whether a message, with its head as it was received, bears the proof.
+    /// Whether a received message has a valid proof; `head` has its original bytes.
     #[must_use]
     pub fn verify(self, head: &[u8], nonce: u64, body: &[u8]) -> bool {
         let length = PROOF_FIELD.len() + ": \r\n\r\n".len() + PROOF_DIGITS;
@@ -65,7 +62,7 @@
         let key = blake3::derive_key(CONTEXT, &self.0.to_le_bytes());
         let mut hasher = blake3::Hasher::new_keyed(&key);
         hasher.update(&nonce.to_le_bytes());
-        // Lengths keep the parts apart.
+        // The length marks where the head ends and the body begins.
         hasher.update(&head.len().to_le_bytes());
         hasher.update(head);
         hasher.update(body);
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -1,6 +1,6 @@
-//! Talk between the instances of a fleet: who they are, by which key they know each
-//! other, and what they ask. Rows that say so lie in the store; `budget` reads and
-//! writes them.
+//! Requests between the instances of a fleet: their addresses, the key that
+//! authenticates them, and the messages. The `budget` module reads and writes the
+//! store's rows that hold the addresses and the key.
 
 mod channels;
 mod key;
@@ -36,49 +36,49 @@
 pub(crate) use self::question::read_loan_answer;
 pub(crate) use self::question::write_loan_answer;
 
-/// How long an instance that did not answer is not asked again: a question to
-/// one that is cut off costs its whole time limit. Doubled with each further
-/// one that it does not answer.
+/// Time for which an instance that did not answer gets no further request: each one
+/// would wait for its whole timeout. Doubled with each consecutive failure.
 const UNREACHABLE_BACKOFF: ClockSpan = ClockSpan::from_millis(1_000);
-/// Doublings of [`UNREACHABLE_BACKOFF`] at most: one that is back is found within seconds.
+/// Largest number of doublings of [`UNREACHABLE_BACKOFF`], so that an instance is
+/// used again within seconds after it recovers.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Field by which an operator shows the fleet's key.
+/// Header field in which an operator sends the fleet's key.
 pub const KEY_FIELD: &str = "Key";
 
-/// Why another instance gave no answer that counts.
+/// Why a request to another instance failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// Nothing came of it.
+    /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Channel(#[from] ChannelError),
-    /// This process does not know the fleet's key, so nobody was asked.
+    /// This process does not know the fleet's key yet, so nothing was sent.
     #[error("the fleet's key is not known yet")]
     NoKey,
-    /// Whoever answered did not prove to know the fleet's key.
-    #[error("an answer with status {0} that bears no proof of the fleet's key")]
+    /// The response does not prove that its sender knows the fleet's key.
+    #[error("response with status {0} has no valid proof of the fleet's key")]
     Unauthenticated(u16),
-    /// The instance knows no configuration.
-    #[error("no configuration is known there")]
+    /// The instance has no configuration that it may pass on.
+    #[error("the instance has no configuration from the store")]
     NoConfig,
 }
 
-/// An instance and where it answers others.
+/// An instance and its address for requests of other instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEndpoint {
     /// The instance.
     pub member: FleetMember,
-    /// Where it answers.
+    /// The address.
     pub address: SocketAddr,
 }
 
-/// Another instance.
+/// Another instance, and whether it was reachable.
 #[derive(Clone, Debug)]
 struct PeerEntry {
     endpoint: PeerEndpoint,
-    /// It is not asked before this time.
+    /// No request is sent to it before this time.
     backoff_until: ClockTime,
-    /// Questions in a row that it did not answer.
+    /// Consecutive requests without an answer.
     failures: u32,
 }
 
@@ -88,25 +88,25 @@
     }
 }
 
-/// The other instances, as this process knows them.
+/// The other instances known to this process.
 #[derive(Debug)]
 pub struct PeerRegistry {
     clock: SteadyClock,
-    /// The own availability zone.
+    /// Availability zone of this instance.
     own_zone: ZoneId,
-    /// Where this instance answers others; `None` if it does not.
+    /// Address for requests of other instances; `None` if this one takes none.
     own_address: Option<SocketAddr>,
     /// Sorted by instance.
     peers: RefCell<Vec<PeerEntry>>,
     channels: PeerChannels,
-    /// What proves to other instances that this one is of the fleet.
+    /// The fleet's key, once it was read from the store.
     key: Cell<Option<FleetKey>>,
-    /// The configuration, whose version goes with every message.
+    /// The configuration; every message names its version.
     configs: Rc<ConfigTracker>,
 }
 
 impl PeerRegistry {
-    /// A desk that knows no other instance yet.
+    /// Creates a registry without instances.
     #[must_use]
     pub fn new(
         clock: SteadyClock,
@@ -125,31 +125,32 @@
         }
     }
 
-    /// Where this instance answers others; `None` if it does not.
+    /// Address for requests of other instances; `None` if this one takes none.
     #[must_use]
     pub const fn own_address(&self) -> Option<SocketAddr> {
         self.own_address
     }
 
-    /// The fleet's key was read.
+    /// Sets the fleet's key.
     pub fn set_key(&self, key: FleetKey) {
         self.key.set(Some(key));
     }
 
-    /// The fleet's key, once it is known.
+    /// The fleet's key; `None` until it is known.
     #[must_use]
     pub const fn key(&self) -> Option<FleetKey> {
         self.key.get()
     }
 
-    /// Whether an operator shows the fleet's key.
+    /// Whether the text sent by an operator is the fleet's key.
     #[must_use]
     pub fn matches_key(&self, text: Option<&str>) -> bool {
         let key = self.key.get();
         key.is_some_and(|key| text == Some(key.text().as_str()))
     }
 
-    /// The other instances were read; what is known of how they answer stays.
+    /// Replaces the instances by those read from the store. An instance that was
+    /// known with the same address keeps its failures and backoff.
     pub(crate) fn set_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let mut known = self.peers.borrow_mut();
         let entry = |endpoint: PeerEndpoint| {
@@ -165,12 +166,12 @@
         *known = peers;
     }
 
-    /// How many other instances there are.
+    /// Number of other instances.
     pub(crate) fn count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Asks one question, once; `limit` is for the answer's head.
+    /// Sends a request, without a retry; `limit` is the timeout for the response head.
     pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
@@ -187,7 +188,8 @@
         Ok(response)
     }
 
-    /// Asks an instance for the configuration, if it has one newer than `known`.
+    /// Requests the configuration from an instance. The response has the row only if
+    /// its version is newer than `known`.
     pub(crate) async fn fetch_config(
         &self,
         address: SocketAddr,
@@ -199,7 +201,8 @@
         read_config(&response.head, response.body).ok_or(PeerError::NoConfig)
     }
 
-    /// Answers a question for the configuration; returns the answer's body.
+    /// Answers a request for the configuration: writes the header fields and returns
+    /// the response body.
     pub(crate) fn answer_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
         let Some(answer) = self.configs.answer_peer(known) else {
             return Vec::new();
@@ -208,26 +211,26 @@
         answer.bytes
     }
 
-    /// A message named the version in force at another instance.
+    /// Processes the header field that names the version in force at another instance.
     pub(crate) fn receive_version(&self, text: Option<&str>) {
         if let Some(version) = text.and_then(|text| text.parse().ok()) {
             self.configs.observe_version(version);
         }
     }
 
-    /// Names the version in force here.
+    /// Writes the header field that names the version in force here.
     pub(crate) fn write_version(&self, writer: &mut HeadWriter) {
         writer.field_of(CONFIG_VERSION_FIELD, self.configs.version());
     }
 
-    /// The zone of another instance.
+    /// Availability zone of another instance.
     pub(crate) fn zone_of(&self, instance: &InstanceId) -> Option<ZoneId> {
         let peers = self.peers.borrow();
         let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
         Some(peers[index.ok()?].endpoint.member.zone.clone())
     }
 
-    /// Where an instance answers, unless it lately did not.
+    /// Address of an instance; `None` if it is unknown or in its backoff time.
     pub(crate) fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
@@ -235,7 +238,7 @@
         (self.clock.now() >= peer.backoff_until).then_some(peer.endpoint.address)
     }
 
-    /// All instances that answer, but for those that lately did not.
+    /// Addresses of all other instances, except those in their backoff time.
     pub(crate) fn addresses(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
         let peers = self.peers.borrow();
@@ -245,9 +248,9 @@
             .collect()
     }
 
-    /// All instances in random order, those that lately did not answer last. One of
-    /// the own availability zone comes first: it is the nearest, unless the zone is
-    /// cut off.
+    /// Addresses of all other instances in random order, those in their backoff time
+    /// last. One of the local availability zone comes first because it is the nearest;
+    /// the rest are of any zone because the local one may be cut off.
     pub(crate) fn shuffled_addresses(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
         let mut peers: Vec<PeerEntry> = self.peers.borrow().clone();
@@ -265,7 +268,7 @@
             .collect()
     }
 
-    /// An instance did not answer.
+    /// Starts the backoff time of an instance that did not answer.
     pub(crate) fn mark_unreachable(&self, instance: &InstanceId) {
         let now = self.clock.now();
         self.update(instance, |peer| {
@@ -275,7 +278,7 @@
         });
     }
 
-    /// An instance answered.
+    /// Resets the failures of an instance that answered.
     pub(crate) fn mark_reachable(&self, instance: &InstanceId) {
         self.update(instance, |peer| peer.failures = 0);
     }
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -1,4 +1,4 @@
-//! What instances ask each other. A question is a request, its answer a response.
+//! Messages between instances, as HTTP requests and responses.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::grant::LenderId;
@@ -21,52 +21,53 @@
 use crate::http::RequestHead;
 use crate::http::ResponseHead;
 
-/// Largest head of a question or an answer, in bytes.
+/// Largest head of a request or response, in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 4 * 1024;
-/// First segment of the target of a question for tokens.
+/// First path segment of a loan request.
 const LOAN_PATH: &str = "loan";
-/// First segment of the target of an account of lent tokens.
+/// First path segment of a loan return.
 const RETURN_PATH: &str = "return";
-/// Target of what is told of requests that crash servers.
+/// Path of a list of suspects: requests that crash servers.
 const SUSPECTS_PATH: &str = "suspects";
-/// First segment of the target of a question for the configuration.
+/// First path segment of a request for the configuration.
 const CONFIG_PATH: &str = "config";
-/// Largest body of a question, in bytes: a whole list of suspects.
+/// Largest request body, in bytes: a full list of suspects.
 const MAX_BODY_BYTES: usize = 32 * 1024;
-/// Second segment where the asker holds tokens too.
+/// Second path segment of a loan to an instance that holds tokens itself.
 const SPARE_SCOPE: &str = "spare";
-/// Second segment where the asker holds none.
+/// Second path segment of a loan to an instance that holds none.
 const SHARE_SCOPE: &str = "share";
-/// Field of a question that holds the number drawn for it.
+/// Request field: random number that the proofs of request and response cover.
 pub(crate) const NONCE_FIELD: &str = "Nonce";
-/// Field of questions and answers that names the version in force there.
+/// Field of requests and responses: version of the configuration in force at the
+/// sender.
 pub(crate) const CONFIG_VERSION_FIELD: &str = "Config";
-/// Field of an answer that names the version that the store told.
+/// Response field: configuration version that the sender read from the store.
 const STORED_VERSION_FIELD: &str = "Stored";
-/// Field of an answer that says how many milliseconds ago it was the newest.
+/// Response field: milliseconds since that version was known to be the newest.
 const CONFIG_AGE_FIELD: &str = "Age";
-/// Field of an answer that says how many tokens were lent.
+/// Response field: number of tokens lent.
 const LENT_FIELD: &str = "Lent";
-/// Field of an answer that says why none were lent.
+/// Response field: why no tokens were lent.
 const CAUSE_FIELD: &str = "Cause";
-/// Field of an answer that names the life of the process that lent.
+/// Response field: nonce of the lending process, which differs after a restart.
 const LENDER_NONCE_FIELD: &str = "Life";
 
-/// What one instance asks another one.
+/// A request from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PeerRequest {
-    /// Lend tokens.
+    /// Asks for a loan of tokens.
     Loan(OrganisationId, LoanAsk),
-    /// Take in an account of lent tokens.
+    /// Returns unspent tokens of a loan and reports the spent ones.
     Return(LoanReturn),
-    /// Take in what is believed of requests that crash servers.
+    /// Sends suspicions of requests that crash servers.
     Suspects(SuspicionList),
-    /// Tell the configuration if it is newer than this version.
+    /// Asks for the configuration if it is newer than this version.
     Config(u64),
 }
 
 impl PeerRequest {
-    /// The question as the target of a request.
+    /// The path of the HTTP request.
     pub(crate) fn target(&self) -> String {
         match self {
             Self::Loan(organisation, ask) => {
@@ -86,19 +87,19 @@
         }
     }
 
-    /// The body of the request.
+    /// The body of the HTTP request.
     pub(crate) fn body(&self) -> Vec<u8> {
         match self {
             Self::Loan(..) | Self::Return(_) | Self::Config(_) => Vec::new(),
             Self::Suspects(list) => encode_row(list).unwrap_or_else(|error| {
-                log::error!("a list of suspects cannot be encoded: {error}");
+                log::error!("cannot encode a list of suspects: {error}");
                 Vec::new()
             }),
         }
     }
 
-    /// The question in a target and body that reached `own`; `None` if it is
-    /// none.
+    /// Parses the path and body of a request received by the instance `own`; `None` if
+    /// they are malformed.
     pub(crate) fn parse(target: &str, body: &[u8], own: &InstanceId) -> Option<Self> {
         let mut parts = target.strip_prefix('/')?.split('/');
         let request = match parts.next()? {
@@ -133,7 +134,7 @@
             }
             SUSPECTS_PATH => {
                 let list = decode_row(body).inspect_err(|error| {
-                    log::warn!("another instance's list of suspects: {error}");
+                    log::warn!("cannot decode another instance's list of suspects: {error}");
                 });
                 Self::Suspects(list.ok()?)
             }
@@ -144,15 +145,15 @@
     }
 }
 
-/// Writes an answer to a question for tokens.
+/// Writes the response fields of a loan request.
 pub(crate) fn write_loan_answer(writer: &mut HeadWriter, answer: LoanAnswer, nonce: u64) {
     writer.field_of(LENT_FIELD, answer.tokens);
     writer.field_of(CAUSE_FIELD, answer.cause.as_str());
     writer.field_of(LENDER_NONCE_FIELD, nonce);
 }
 
-/// Reads an answer to a question for tokens: what was lent, by which life of
-/// the process.
+/// Reads the response to a loan request: the lender's answer and the nonce of its
+/// process.
 pub(crate) fn read_loan_answer(head: &ResponseHead) -> Option<(LoanAnswer, u64)> {
     let tokens = head.fields.get(LENT_FIELD)?.parse().ok()?;
     let nonce = head.fields.get(LENDER_NONCE_FIELD)?.parse().ok()?;
@@ -164,13 +165,13 @@
     Some((answer, nonce))
 }
 
-/// Writes what is told of the configuration.
+/// Writes the response fields of a request for the configuration.
 pub(crate) fn write_config(writer: &mut HeadWriter, answer: &PeerConfig) {
     writer.field_of(STORED_VERSION_FIELD, answer.version);
     writer.field_of(CONFIG_AGE_FIELD, answer.age.as_millis());
 }
 
-/// Reads what is told of the configuration.
+/// Reads the response to a request for the configuration.
 pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<PeerConfig> {
     let version = head.fields.get(STORED_VERSION_FIELD)?.parse().ok()?;
     let age = head.fields.get(CONFIG_AGE_FIELD)?.parse().ok()?;
@@ -181,18 +182,18 @@
     })
 }
 
-/// A question as it was received.
+/// A received request, not yet authenticated.
 pub(crate) struct ReceivedRequest {
-    /// Its head.
+    /// The parsed head.
     pub(crate) head: RequestHead,
-    /// The bytes of its head.
+    /// The bytes of the head, which the proof covers.
     bytes: Vec<u8>,
-    /// Its body.
+    /// The body.
     pub(crate) body: Vec<u8>,
 }
 
 impl ReceivedRequest {
-    /// Reads one question.
+    /// Reads one request.
     pub(crate) async fn read(channel: &mut HttpChannel) -> Result<Self, ChannelError> {
         let length = channel.head(MAX_HEAD_BYTES).await?;
         let bytes = channel.received()[..length].to_vec();
@@ -202,7 +203,7 @@
         Ok(Self { head, bytes, body })
     }
 
-    /// The number that the asker drew, if the question bears the key's proof.
+    /// The nonce of the request; `None` if the request has no valid proof of `key`.
     pub(crate) fn authenticated_nonce(&self, key: FleetKey) -> Option<u64> {
         let nonce = self.head.fields.get(NONCE_FIELD)?.parse().ok()?;
         let verified = key.verify(&self.bytes, nonce, &self.body);
