--- a/crates/guavawell-forward/src/config/others.rs
+++ b/crates/guavawell-forward/src/config/others.rs
@@ -16,7 +16,7 @@
 
 use super::PeerConfig;
 use crate::clock::timer_span;
-use crate::http::OpenTries;
+use crate::http::HedgedTries;
 use crate::peer::PeerError;
 use crate::router::ForwardRouter;
 
@@ -63,7 +63,7 @@
         return false;
     }
     peers.truncate(PEERS_PER_ROUND);
-    let mut tries = OpenTries::new(PEERS_PER_ROUND);
+    let mut tries = HedgedTries::new(PEERS_PER_ROUND);
     for (instance, address) in peers {
         let next = Box::pin(query_peer(router, instance, address));
         if let Some(Ok(received)) = tries.first_answer(next, HEDGE_DELAY).await
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -217,7 +217,7 @@
             router.crashes.bell.notify(usize::MAX);
             false
         }
-        Err(error) if error.is_refusal() => {
+        Err(error) if error.is_connection_refused() => {
             refused(router, server);
             true
         }
@@ -253,7 +253,7 @@
                 continue;
             };
             let again = HttpChannel::connect(address, CHECK_LIMIT).await;
-            if again.is_err_and(|error| error.is_refusal()) {
+            if again.is_err_and(|error| error.is_connection_refused()) {
                 refused(&router, &server);
             }
         }
--- a/crates/guavawell-forward/src/http/body.rs
+++ b/crates/guavawell-forward/src/http/body.rs
@@ -5,9 +5,9 @@
 use super::BodyFraming;
 
 /// Longest line of a chunk's size, extensions included, in bytes.
-const MAX_SIZE_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE: usize = 256;
 /// Most bytes of trailers.
-const MAX_TRAILERS: usize = 4_096;
+const MAX_TRAILER_BYTES: usize = 4_096;
 
 /// Why a body cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -29,11 +29,11 @@
     /// So many bytes of content are left of a length or a chunk.
     Content(u64),
     /// Content until the connection ends.
-    Open,
+    UntilClose,
     /// A chunk's size line comes next.
-    Size,
+    ChunkSize,
     /// The line break after a chunk comes next.
-    Break,
+    ChunkEnd,
     /// Trailers come next; so many bytes of them were read.
     Trailers(usize),
     /// The body has ended.
@@ -54,8 +54,8 @@
         let (state, chunked) = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => (BodyState::Done, false),
             BodyFraming::Length(length) => (BodyState::Content(length), false),
-            BodyFraming::Chunked => (BodyState::Size, true),
-            BodyFraming::UntilClose => (BodyState::Open, false),
+            BodyFraming::Chunked => (BodyState::ChunkSize, true),
+            BodyFraming::UntilClose => (BodyState::UntilClose, false),
         };
         Self { state, chunked }
     }
@@ -68,8 +68,8 @@
 
     /// Whether the end of the connection is the end of the body.
     #[must_use]
-    pub fn ends_with_connection(&self) -> bool {
-        self.state == BodyState::Open
+    pub fn ends_at_close(&self) -> bool {
+        self.state == BodyState::UntilClose
     }
 
     /// Decodes from `input`, appends content to `output` and returns how many
@@ -79,55 +79,55 @@
     ///
     /// The chunks are malformed.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
-        let mut taken = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[taken..];
+            let rest = &input[consumed..];
             let step = self.step(rest, output)?;
             if step == 0 {
-                return Ok(taken);
+                return Ok(consumed);
             }
-            taken += step;
+            consumed += step;
         }
     }
 
     /// One step; zero if more input is needed or the body is done.
-    fn step(&mut self, rest: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
+    fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
         match self.state {
             BodyState::Done => Ok(0),
-            BodyState::Open => {
-                output.extend_from_slice(rest);
-                Ok(rest.len())
+            BodyState::UntilClose => {
+                output.extend_from_slice(input);
+                Ok(input.len())
             }
-            BodyState::Content(left) => Ok(self.content(left, rest, output)),
-            BodyState::Size => self.size(rest),
-            BodyState::Break => self.line_break(rest),
-            BodyState::Trailers(read) => self.trailer(read, rest),
+            BodyState::Content(remaining) => Ok(self.decode_content(remaining, input, output)),
+            BodyState::ChunkSize => self.decode_chunk_size(input),
+            BodyState::ChunkEnd => self.decode_chunk_end(input),
+            BodyState::Trailers(read) => self.skip_trailer(read, input),
         }
     }
 
-    fn content(&mut self, left: u64, rest: &[u8], output: &mut Vec<u8>) -> usize {
-        let most = usize::try_from(left).unwrap_or(usize::MAX);
-        let count = rest.len().min(most);
-        output.extend_from_slice(&rest[..count]);
-        let left = left - count as u64;
-        self.state = match (left, self.chunked) {
-            (0, true) => BodyState::Break,
+    fn decode_content(&mut self, remaining: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
+        let limit = usize::try_from(remaining).unwrap_or(usize::MAX);
+        let count = input.len().min(limit);
+        output.extend_from_slice(&input[..count]);
+        let remaining = remaining - count as u64;
+        self.state = match (remaining, self.chunked) {
+            (0, true) => BodyState::ChunkEnd,
             (0, false) => BodyState::Done,
-            _ => BodyState::Content(left),
+            _ => BodyState::Content(remaining),
         };
         count
     }
 
-    fn size(&mut self, rest: &[u8]) -> Result<usize, BodyError> {
-        let Some(end) = line_end(rest) else {
-            let too_long = rest.len() > MAX_SIZE_LINE;
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<usize, BodyError> {
+        let Some(end) = line_end(input) else {
+            let too_long = input.len() > MAX_CHUNK_SIZE_LINE;
             return if too_long {
                 Err(BodyError::ChunkSize)
             } else {
                 Ok(0)
             };
         };
-        let line = rest[..end]
+        let line = input[..end]
             .strip_suffix(b"\r\n")
             .ok_or(BodyError::ChunkSize)?;
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
@@ -142,34 +142,34 @@
         Ok(end)
     }
 
-    fn line_break(&mut self, rest: &[u8]) -> Result<usize, BodyError> {
-        if rest.len() < 2 {
-            return if b"\r\n".starts_with(rest) {
+    fn decode_chunk_end(&mut self, input: &[u8]) -> Result<usize, BodyError> {
+        if input.len() < 2 {
+            return if b"\r\n".starts_with(input) {
                 Ok(0)
             } else {
                 Err(BodyError::ChunkEnd)
             };
         }
-        if !rest.starts_with(b"\r\n") {
+        if !input.starts_with(b"\r\n") {
             return Err(BodyError::ChunkEnd);
         }
-        self.state = BodyState::Size;
+        self.state = BodyState::ChunkSize;
         Ok(2)
     }
 
-    fn trailer(&mut self, read: usize, rest: &[u8]) -> Result<usize, BodyError> {
-        let Some(end) = line_end(rest) else {
-            let too_long = read + rest.len() > MAX_TRAILERS;
+    fn skip_trailer(&mut self, read: usize, input: &[u8]) -> Result<usize, BodyError> {
+        let Some(end) = line_end(input) else {
+            let too_long = read + input.len() > MAX_TRAILER_BYTES;
             return if too_long {
                 Err(BodyError::Trailers)
             } else {
                 Ok(0)
             };
         };
-        let empty = &rest[..end] == b"\r\n";
+        let empty = &input[..end] == b"\r\n";
         self.state = match read + end {
             _ if empty => BodyState::Done,
-            read if read > MAX_TRAILERS => return Err(BodyError::Trailers),
+            read if read > MAX_TRAILER_BYTES => return Err(BodyError::Trailers),
             read => BodyState::Trailers(read),
         };
         Ok(end)
@@ -180,5 +180,5 @@
     bytes
         .iter()
         .position(|byte| *byte == b'\n')
-        .map(|place| place + 1)
+        .map(|index| index + 1)
 }
--- a/crates/guavawell-forward/src/http/channel.rs
+++ b/crates/guavawell-forward/src/http/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with what was received and not yet used.
+//! A connection with what was received and not yet consumed.
 
 use std::io;
 use std::io::Read;
@@ -19,7 +19,7 @@
 use super::HeadError;
 
 /// Bytes that one read asks for.
-const READ_BYTES: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 /// Unacknowledged data makes a connection fail after this time, so that one
 /// whose other end vanished is noticed without its cooperation.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -32,10 +32,10 @@
     Closed,
     /// The connection ended within a message.
     #[error("connection closed within a message")]
-    CutShort,
+    Truncated,
     /// The connection failed.
     #[error("connection failed: {0}")]
-    Broken(#[from] io::Error),
+    Io(#[from] io::Error),
     /// A head is longer than allowed.
     #[error("head longer than allowed")]
     HeadTooLong,
@@ -56,8 +56,8 @@
 impl ChannelError {
     /// Whether nobody listens at the other end.
     #[must_use]
-    pub fn is_refusal(&self) -> bool {
-        matches!(self, Self::Broken(error) if error.kind() == io::ErrorKind::ConnectionRefused)
+    pub fn is_connection_refused(&self) -> bool {
+        matches!(self, Self::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
@@ -65,9 +65,9 @@
 #[derive(Debug)]
 pub struct HttpChannel {
     stream: Rc<Async<TcpStream>>,
-    inbox: Vec<u8>,
-    /// Bytes of `inbox` that were used.
-    used: usize,
+    buffer: Vec<u8>,
+    /// Bytes of `buffer` that were consumed.
+    consumed: usize,
 }
 
 impl HttpChannel {
@@ -82,8 +82,8 @@
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
         Ok(Self {
             stream: Rc::new(stream),
-            inbox: Vec::new(),
-            used: 0,
+            buffer: Vec::new(),
+            consumed: 0,
         })
     }
 
@@ -104,19 +104,19 @@
         Rc::clone(&self.stream)
     }
 
-    /// Received bytes that are not yet used.
+    /// Received bytes that are not yet consumed.
     #[must_use]
     pub fn received(&self) -> &[u8] {
-        &self.inbox[self.used..]
+        &self.buffer[self.consumed..]
     }
 
-    /// Marks received bytes as used.
+    /// Marks received bytes as consumed.
     pub fn consume(&mut self, count: usize) {
-        self.used += count;
-        if self.used >= self.inbox.len() {
-            self.inbox.clear();
-            self.used = 0;
-            self.inbox.shrink_to(READ_BYTES);
+        self.consumed += count;
+        if self.consumed >= self.buffer.len() {
+            self.buffer.clear();
+            self.consumed = 0;
+            self.buffer.shrink_to(READ_SIZE);
         }
     }
 
@@ -127,9 +127,9 @@
     ///
     /// The connection failed.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        if self.used > 0 {
-            self.inbox.drain(..self.used);
-            self.used = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         loop {
             match self.read_ready() {
@@ -144,11 +144,11 @@
 
     /// Reads what the socket has without waiting.
     fn read_ready(&mut self) -> io::Result<usize> {
-        let held = self.inbox.len();
-        self.inbox.resize(held + READ_BYTES, 0);
-        let result = self.stream.get_ref().read(&mut self.inbox[held..]);
+        let filled = self.buffer.len();
+        self.buffer.resize(filled + READ_SIZE, 0);
+        let result = self.stream.get_ref().read(&mut self.buffer[filled..]);
         let count = *result.as_ref().unwrap_or(&0);
-        self.inbox.truncate(held + count);
+        self.buffer.truncate(filled + count);
         result
     }
 
@@ -157,27 +157,27 @@
     ///
     /// # Errors
     ///
-    /// The connection ends or fails, or the head is longer than `most` bytes.
-    pub async fn head(&mut self, most: usize) -> Result<usize, ChannelError> {
+    /// The connection ends or fails, or the head is longer than `limit` bytes.
+    pub async fn head(&mut self, limit: usize) -> Result<usize, ChannelError> {
         let mut searched = 0;
         loop {
             self.skip_empty_lines();
             let bytes = self.received();
             if let Some(end) = head_end(bytes, searched) {
-                return if end > most {
+                return if end > limit {
                     Err(ChannelError::HeadTooLong)
                 } else {
                     Ok(end)
                 };
             }
-            if bytes.len() > most {
+            if bytes.len() > limit {
                 return Err(ChannelError::HeadTooLong);
             }
             searched = bytes.len().saturating_sub(3);
-            let fresh = bytes.is_empty();
+            let before_message = bytes.is_empty();
             match self.fill().await {
-                Ok(0) if fresh => return Err(ChannelError::Closed),
-                Ok(0) => return Err(ChannelError::CutShort),
+                Ok(0) if before_message => return Err(ChannelError::Closed),
+                Ok(0) => return Err(ChannelError::Truncated),
                 Ok(_) => {}
                 Err(error) => return Err(error.into()),
             }
@@ -203,8 +203,8 @@
     ) -> Result<bool, ChannelError> {
         let before = output.len();
         loop {
-            let taken = decoder.decode(self.received(), output)?;
-            self.consume(taken);
+            let consumed = decoder.decode(self.received(), output)?;
+            self.consume(consumed);
             if decoder.is_done() {
                 return Ok(false);
             }
@@ -212,17 +212,17 @@
                 return Ok(true);
             }
             if self.fill().await? == 0 {
-                let ended = decoder.ends_with_connection();
+                let ended = decoder.ends_at_close();
                 return if ended {
                     Ok(false)
                 } else {
-                    Err(ChannelError::CutShort)
+                    Err(ChannelError::Truncated)
                 };
             }
         }
     }
 
-    /// Receives a whole body of `most` bytes at most.
+    /// Receives a whole body of `limit` bytes at most.
     ///
     /// # Errors
     ///
@@ -230,12 +230,12 @@
     pub async fn body(
         &mut self,
         framing: BodyFraming,
-        most: usize,
+        limit: usize,
     ) -> Result<Vec<u8>, ChannelError> {
         let mut decoder = BodyDecoder::new(framing);
         let mut body = Vec::new();
         while self.body_part(&mut decoder, &mut body).await? {
-            if body.len() > most {
+            if body.len() > limit {
                 return Err(ChannelError::BodyTooLong);
             }
         }
@@ -283,16 +283,16 @@
     limit: Duration,
     step: impl Future<Output = Result<T, ChannelError>>,
 ) -> Result<T, ChannelError> {
-    let late = async {
+    let timeout = async {
         Timer::after(limit).await;
         Err(ChannelError::TimedOut)
     };
-    futures_lite::future::or(step, late).await
+    futures_lite::future::or(step, timeout).await
 }
 
 /// The end of a head, if it is whole. `from` bytes were searched before.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
-    let place = rest.windows(4).position(|window| window == b"\r\n\r\n")?;
-    Some(from + place + 4)
+    let index = rest.windows(4).position(|window| window == b"\r\n\r\n")?;
+    Some(from + index + 4)
 }
--- a/crates/guavawell-forward/src/http/head.rs
+++ b/crates/guavawell-forward/src/http/head.rs
@@ -130,7 +130,7 @@
     /// Whether the caller keeps the connection.
     pub keep: bool,
     /// Whether the caller understands chunks: HTTP/1.1 or newer.
-    pub takes_chunks: bool,
+    pub accepts_chunked: bool,
 }
 
 impl RequestHead {
@@ -140,23 +140,23 @@
     ///
     /// The head is malformed or its framing ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut request = httparse::Request::new(&mut space);
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut request = httparse::Request::new(&mut header_buffer);
         let status = request.parse(bytes).map_err(HeadError::Syntax)?;
         if status.is_partial() {
             return Err(HeadError::Syntax(httparse::Error::Token));
         }
         let fields = FieldList::capture(bytes, request.headers);
-        let newer = request.version == Some(1);
-        let framing = request_framing(&fields, newer)?;
-        let host = host_of(&fields, newer)?;
+        let is_http11 = request.version == Some(1);
+        let framing = request_framing(&fields, is_http11)?;
+        let host = parse_host(&fields, is_http11)?;
         Ok(Self {
             method: request.method.unwrap_or_default().into(),
             target: request.path.unwrap_or_default().into(),
             host,
             framing,
-            keep: keeps(&fields, newer),
-            takes_chunks: newer,
+            keep: keeps_alive(&fields, is_http11),
+            accepts_chunked: is_http11,
             fields,
         })
     }
@@ -185,23 +185,23 @@
 }
 
 impl ResponseHead {
-    /// Parses a whole head, empty line included. `to_head` says that the
+    /// Parses a whole head, empty line included. `is_head_request` says that the
     /// request was `HEAD`, whose answers have no body.
     ///
     /// # Errors
     ///
     /// The head is malformed or its framing ambiguous.
-    pub fn parse(bytes: &[u8], to_head: bool) -> Result<Self, HeadError> {
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut response = httparse::Response::new(&mut space);
+    pub fn parse(bytes: &[u8], is_head_request: bool) -> Result<Self, HeadError> {
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut response = httparse::Response::new(&mut header_buffer);
         let status = response.parse(bytes).map_err(HeadError::Syntax)?;
         if status.is_partial() {
             return Err(HeadError::Syntax(httparse::Error::Token));
         }
         let fields = FieldList::capture(bytes, response.headers);
-        let newer = response.version == Some(1);
+        let is_http11 = response.version == Some(1);
         let code = response.code.unwrap_or_default();
-        let bodiless = to_head || code == 204 || code == 304 || (100..200).contains(&code);
+        let bodiless = is_head_request || code == 204 || code == 304 || (100..200).contains(&code);
         let framing = if bodiless {
             BodyFraming::Empty
         } else {
@@ -211,37 +211,37 @@
             status: code,
             reason: response.reason.unwrap_or_default().into(),
             framing,
-            keep: keeps(&fields, newer) && framing != BodyFraming::UntilClose,
+            keep: keeps_alive(&fields, is_http11) && framing != BodyFraming::UntilClose,
             fields,
         })
     }
 }
 
-fn keeps(fields: &FieldList, newer: bool) -> bool {
-    if newer {
+fn keeps_alive(fields: &FieldList, is_http11: bool) -> bool {
+    if is_http11 {
         !fields.has_token("connection", "close")
     } else {
         fields.has_token("connection", "keep-alive")
     }
 }
 
-fn host_of(fields: &FieldList, newer: bool) -> Result<Box<str>, HeadError> {
+fn parse_host(fields: &FieldList, is_http11: bool) -> Result<Box<str>, HeadError> {
     let mut hosts = fields.all("host");
     let host = match (hosts.next(), hosts.next()) {
         (Some(host), None) => std::str::from_utf8(host).map_err(|_| HeadError::Host)?,
-        (None, None) if !newer => "",
+        (None, None) if !is_http11 => "",
         _ => return Err(HeadError::Host),
     };
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     Ok(name.into())
 }
 
-fn request_framing(fields: &FieldList, newer: bool) -> Result<BodyFraming, HeadError> {
+fn request_framing(fields: &FieldList, is_http11: bool) -> Result<BodyFraming, HeadError> {
     let length = content_length(fields)?;
     let chunked = is_chunked(fields)?;
     match (length, chunked) {
         (Some(_), true) => Err(HeadError::Framing("length beside chunks")),
-        (None, true) if !newer => Err(HeadError::Framing("chunks before HTTP/1.1")),
+        (None, true) if !is_http11 => Err(HeadError::Framing("chunks before HTTP/1.1")),
         (None, true) => Ok(BodyFraming::Chunked),
         (Some(length), false) => Ok(BodyFraming::Length(length)),
         (None, false) => Ok(BodyFraming::Empty),
--- a/crates/guavawell-forward/src/http/tries.rs
+++ b/crates/guavawell-forward/src/http/tries.rs
@@ -18,25 +18,25 @@
 use smol::Timer;
 
 /// One try.
-pub type OpenTry<'a, T, E> = Pin<Box<dyn Future<Output = Result<T, E>> + 'a>>;
+pub type HedgedTry<'a, T, E> = Pin<Box<dyn Future<Output = Result<T, E>> + 'a>>;
 
 /// The tries of one question that are open, oldest first.
-pub struct OpenTries<'a, T, E> {
-    open: Vec<OpenTry<'a, T, E>>,
-    most: usize,
+pub struct HedgedTries<'a, T, E> {
+    open: Vec<HedgedTry<'a, T, E>>,
+    max_open: usize,
 }
 
-impl<'a, T, E> OpenTries<'a, T, E> {
-    /// No tries; of more than `most` the oldest is given up.
+impl<'a, T, E> HedgedTries<'a, T, E> {
+    /// No tries; of more than `max_open` the oldest is given up.
     #[must_use]
-    pub const fn new(most: usize) -> Self {
+    pub const fn new(max_open: usize) -> Self {
         Self {
             open: Vec::new(),
-            most,
+            max_open,
         }
     }
 
-    /// Begins one more try and waits for the first answer of any, `patience` at
+    /// Begins one more try and waits for the first answer of any, `delay` at
     /// most. The others are given up once one is answered.
     ///
     /// `None` while all are open: begin the next one. The error of the newest try
@@ -44,40 +44,40 @@
     /// one that is in use now.
     pub async fn first_answer(
         &mut self,
-        next: OpenTry<'a, T, E>,
-        patience: Duration,
+        next: HedgedTry<'a, T, E>,
+        delay: Duration,
     ) -> Option<Result<T, E>> {
-        if self.open.len() >= self.most {
+        if self.open.len() >= self.max_open {
             drop(self.open.remove(0));
         }
         self.open.push(next);
-        self.next_answer(patience).await
+        self.next_answer(delay).await
     }
 
     /// Waits for the first answer of any open try without beginning one more:
     /// beside an answer that is arriving it would only share the link.
-    pub async fn next_answer(&mut self, patience: Duration) -> Option<Result<T, E>> {
-        let mut late = Timer::after(patience);
+    pub async fn next_answer(&mut self, delay: Duration) -> Option<Result<T, E>> {
+        let mut timeout = Timer::after(delay);
         poll_fn(|context| match self.poll_open(context) {
             Poll::Ready(answer) => Poll::Ready(Some(answer)),
-            Poll::Pending => Pin::new(&mut late).poll(context).map(|_| None),
+            Poll::Pending => Pin::new(&mut timeout).poll(context).map(|_| None),
         })
         .await
     }
 
     /// Polls every try; one that failed while later ones are open is dropped.
     fn poll_open(&mut self, context: &mut Context<'_>) -> Poll<Result<T, E>> {
-        let mut place = 0;
-        while place < self.open.len() {
-            match self.open[place].as_mut().poll(context) {
-                Poll::Pending => place += 1,
+        let mut index = 0;
+        while index < self.open.len() {
+            match self.open[index].as_mut().poll(context) {
+                Poll::Pending => index += 1,
                 Poll::Ready(Ok(answer)) => {
                     self.open.clear();
                     return Poll::Ready(Ok(answer));
                 }
                 Poll::Ready(Err(error)) => {
-                    drop(self.open.remove(place));
-                    if place == self.open.len() {
+                    drop(self.open.remove(index));
+                    if index == self.open.len() {
                         return Poll::Ready(Err(error));
                     }
                 }
--- a/crates/guavawell-forward/src/open.rs
+++ b/crates/guavawell-forward/src/open.rs
@@ -58,7 +58,7 @@
 }
 
 fn note_unreached(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
-    if error.is_refusal() {
+    if error.is_connection_refused() {
         refused(router, server);
         return;
     }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -162,7 +162,7 @@
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
         let rest = held.len() - scan.whole;
-        if !more && rest > 0 && answer.decoder.ends_with_connection() {
+        if !more && rest > 0 && answer.decoder.ends_at_close() {
             // The connection ended within an event.
             answer.lease.rate(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
@@ -251,7 +251,7 @@
 
 impl StreamWriter {
     fn new(router: &ForwardRouter, call: &ForwardCall<'_>) -> Self {
-        let chunked = call.request.head.takes_chunks;
+        let chunked = call.request.head.accepts_chunked;
         Self {
             out: Vec::new(),
             chunked,
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use guavawell_forward::http::OpenTries;
-use guavawell_forward::http::OpenTry;
+use guavawell_forward::http::HedgedTries;
+use guavawell_forward::http::HedgedTry;
 use smol::Timer;
 
 /// Longer than any test waits.
@@ -12,7 +12,7 @@
 /// A patience that is over at once.
 const NONE: Duration = Duration::ZERO;
 
-type NumberTry = OpenTry<'static, u32, &'static str>;
+type NumberTry = HedgedTry<'static, u32, &'static str>;
 
 fn silent() -> NumberTry {
     Box::pin(std::future::pending())
@@ -25,7 +25,7 @@
 #[test]
 fn a_late_answer_to_an_earlier_try_counts() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let late: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(20)).await;
             Ok(1)
@@ -38,7 +38,7 @@
 #[test]
 fn the_newest_try_that_fails_is_told_at_once_and_an_open_one_still_counts() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let late: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(20)).await;
             Ok(1)
@@ -53,7 +53,7 @@
 #[test]
 fn an_earlier_try_that_fails_is_not_the_end() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let later: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(10)).await;
             Err("failed")
@@ -70,7 +70,7 @@
 #[test]
 fn a_failure_that_leaves_no_try_is_told_at_once() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let told = tries.first_answer(failed(), NEVER).await;
         assert_eq!(told, Some(Err("failed")));
     });
@@ -79,7 +79,7 @@
 #[test]
 fn an_answer_ends_the_other_tries_and_the_oldest_gives_way() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(2);
+        let mut tries = HedgedTries::new(2);
         let slow = |number, millis| -> NumberTry {
             Box::pin(async move {
                 Timer::after(Duration::from_millis(millis)).await;
