--- a/crates/guavawell-forward/src/http/body.rs
+++ b/crates/guavawell-forward/src/http/body.rs
@@ -1,12 +1,12 @@
-//! Bodies: the decoder of all framings.
+//! Decodes message bodies of all framings.
 
 use thiserror::Error;
 
 use super::BodyFraming;
 
-/// Longest line of a chunk's size, extensions included, in bytes.
+/// Largest chunk size line, extensions included, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 256;
-/// Most bytes of trailers.
+/// Largest total size of the trailers, in bytes.
 const MAX_TRAILER_BYTES: usize = 4_096;
 
 /// Why a body cannot be decoded.
@@ -16,31 +16,31 @@
     #[error("malformed chunk size")]
     ChunkSize,
     /// A chunk does not end with a line break.
-    #[error("a chunk without its line break")]
+    #[error("chunk is not followed by a line break")]
     ChunkEnd,
     /// The trailers are too long.
     #[error("trailers too long")]
     Trailers,
 }
 
-/// Where the decoder stands.
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// So many bytes of content are left of a length or a chunk.
+    /// This many more bytes of content, up to the length of the body or chunk.
     Content(u64),
-    /// Content until the connection ends.
+    /// Content until the connection closes.
     UntilClose,
-    /// A chunk's size line comes next.
+    /// The size line of a chunk.
     ChunkSize,
-    /// The line break after a chunk comes next.
+    /// The line break after a chunk.
     ChunkEnd,
-    /// Trailers come next; so many bytes of them were read.
+    /// Trailers; this many bytes of them were read.
     Trailers(usize),
-    /// The body has ended.
+    /// Nothing: the body is complete.
     Done,
 }
 
-/// Takes content out of received bytes.
+/// Extracts a body's content from received bytes.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: BodyState,
@@ -48,7 +48,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of a body that begins now.
+    /// Creates a decoder for a new body.
     #[must_use]
     pub const fn new(framing: BodyFraming) -> Self {
         let (state, chunked) = match framing {
@@ -66,18 +66,18 @@
         self.state == BodyState::Done
     }
 
-    /// Whether the end of the connection is the end of the body.
+    /// Whether the body ends when the connection closes.
     #[must_use]
     pub fn ends_at_close(&self) -> bool {
         self.state == BodyState::UntilClose
     }
 
-    /// Decodes from `input`, appends content to `output` and returns how many
-    /// bytes it took.
+    /// Decodes `input`, appends the content to `output` and returns the number of
+    /// consumed bytes.
     ///
     /// # Errors
     ///
-    /// The chunks are malformed.
+    /// The chunked coding is malformed.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
         let mut consumed = 0;
         loop {
@@ -90,7 +90,8 @@
         }
     }
 
-    /// One step; zero if more input is needed or the body is done.
+    /// Decodes one element and returns the number of consumed bytes: zero if more
+    /// input is needed or the body is complete.
     fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
         match self.state {
             BodyState::Done => Ok(0),
--- a/crates/guavawell-forward/src/http/channel.rs
+++ b/crates/guavawell-forward/src/http/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with what was received and not yet consumed.
+//! A TCP connection with a receive buffer.
 
 use std::io;
 use std::io::Read;
@@ -18,19 +18,19 @@
 use super::BodyFraming;
 use super::HeadError;
 
-/// Bytes that one read asks for.
+/// Size of one read, in bytes.
 const READ_SIZE: usize = 8 * 1024;
-/// Unacknowledged data makes a connection fail after this time, so that one
-/// whose other end vanished is noticed without its cooperation.
+/// Time after which unacknowledged data makes a connection fail (`TCP_USER_TIMEOUT`),
+/// so that a peer that vanished without closing it is noticed.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why nothing more can be received.
+/// Why a connection cannot be used any more.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The connection ended between two messages.
+    /// The connection was closed between two messages.
     #[error("connection closed")]
     Closed,
-    /// The connection ended within a message.
+    /// The connection was closed within a message.
     #[error("connection closed within a message")]
     Truncated,
     /// The connection failed.
@@ -48,34 +48,35 @@
     /// A body is malformed.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// Time ran out.
-    #[error("time ran out")]
+    /// A step did not finish within its time limit.
+    #[error("timed out")]
     TimedOut,
 }
 
 impl ChannelError {
-    /// Whether nobody listens at the other end.
+    /// Whether nobody listens at the address.
     #[must_use]
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// One connection.
+/// An open connection.
 #[derive(Debug)]
 pub struct HttpChannel {
     stream: Rc<Async<TcpStream>>,
+    /// Bytes that were received.
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that were consumed.
+    /// Number of bytes at the start of `buffer` that were consumed.
     consumed: usize,
 }
 
 impl HttpChannel {
-    /// Takes over a connection.
+    /// Wraps an open connection and sets its socket options.
     ///
     /// # Errors
     ///
-    /// The socket's options cannot be set.
+    /// The socket options cannot be set.
     pub fn new(stream: Async<TcpStream>) -> io::Result<Self> {
         stream.get_ref().set_nodelay(true)?;
         let socket = SockRef::from(stream.get_ref());
@@ -91,20 +92,20 @@
     ///
     /// # Errors
     ///
-    /// It is refused, or not established within `limit`.
+    /// The connection is refused, or not established within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, ChannelError> {
         let connect = async { Ok(Async::<TcpStream>::connect(address).await?) };
         let stream = within(limit, connect).await?;
         Ok(Self::new(stream)?)
     }
 
-    /// The socket, for a reader or writer beside this one.
+    /// The socket, for use by another reader or writer.
     #[must_use]
     pub fn stream(&self) -> Rc<Async<TcpStream>> {
         Rc::clone(&self.stream)
     }
 
-    /// Received bytes that are not yet consumed.
+    /// The received bytes that are not yet consumed.
     #[must_use]
     pub fn received(&self) -> &[u8] {
         &self.buffer[self.consumed..]
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Waits for more bytes; zero at the end of the connection. Nothing is lost
-    /// if the wait is given up.
+    /// Waits for more bytes and returns their number: zero if the connection was
+    /// closed. Cancelling the future loses no received bytes.
     ///
     /// # Errors
     ///
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Reads what the socket has without waiting.
+    /// Reads available bytes without waiting.
     fn read_ready(&mut self) -> io::Result<usize> {
         let filled = self.buffer.len();
         self.buffer.resize(filled + READ_SIZE, 0);
@@ -152,12 +153,12 @@
         result
     }
 
-    /// Waits for a whole head and returns its length. Empty lines before it
-    /// are passed over.
+    /// Waits for a complete head and returns its length. Empty lines before it are
+    /// skipped.
     ///
     /// # Errors
     ///
-    /// The connection ends or fails, or the head is longer than `limit` bytes.
+    /// The connection is closed or fails, or the head is longer than `limit` bytes.
     pub async fn head(&mut self, limit: usize) -> Result<usize, ChannelError> {
         let mut searched = 0;
         loop {
@@ -190,12 +191,12 @@
         }
     }
 
-    /// Decodes what is received of a body, and waits for more if there is
-    /// nothing. Returns false once the body is complete.
+    /// Decodes the received part of a body; waits for more bytes if there is no
+    /// content yet. Returns false once the body is complete.
     ///
     /// # Errors
     ///
-    /// The body is cut short or malformed, or the connection fails.
+    /// The body is truncated or malformed, or the connection fails.
     pub async fn body_part(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -222,11 +223,11 @@
         }
     }
 
-    /// Receives a whole body of `limit` bytes at most.
+    /// Receives a complete body of at most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// It is longer, cut short or malformed, or the connection fails.
+    /// The body is longer, truncated or malformed, or the connection fails.
     pub async fn body(
         &mut self,
         framing: BodyFraming,
@@ -251,8 +252,8 @@
         (&*self.stream).write_all(bytes).await
     }
 
-    /// Whether an idle connection is still good: open, and nothing came on it
-    /// unasked.
+    /// Whether an idle connection can be used again: it is open, and no unexpected
+    /// bytes were received.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         if !self.received().is_empty() {
@@ -264,8 +265,8 @@
     }
 }
 
-/// Waits until the other end closes or breaks the connection. Bytes that it
-/// sends meanwhile stay unread; after the first of them this never ends.
+/// Waits until the connection is closed or fails. Received bytes stay unread, and
+/// once there are any, the future never completes.
 pub async fn wait_for_close(stream: &Async<TcpStream>) {
     let mut byte = [0];
     match stream.peek(&mut byte).await {
@@ -274,11 +275,11 @@
     }
 }
 
-/// Runs a step for `limit` at most.
+/// Runs `step` with a time limit.
 ///
 /// # Errors
 ///
-/// The step's own, or `TimedOut`.
+/// The error of `step`, or `TimedOut`.
 pub async fn within<T>(
     limit: Duration,
     step: impl Future<Output = Result<T, ChannelError>>,
@@ -290,7 +291,8 @@
     futures_lite::future::or(step, timeout).await
 }
 
-/// The end of a head, if it is whole. `from` bytes were searched before.
+/// The length of a head; `None` if it is incomplete. The first `from` bytes were
+/// searched before.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
     let index = rest.windows(4).position(|window| window == b"\r\n\r\n")?;
--- a/crates/guavawell-forward/src/http/head.rs
+++ b/crates/guavawell-forward/src/http/head.rs
@@ -1,40 +1,40 @@
-//! Request and response heads.
+//! Parses request and response heads, and decides on the framing of the body.
 
 use std::ops::Range;
 
 use thiserror::Error;
 
-/// Most fields of a head.
+/// Largest number of fields in a head.
 const MAX_FIELDS: usize = 96;
 
-/// Why a head cannot be used.
+/// Why a head is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// Not a head of HTTP/1.
+    /// It is not an HTTP/1 head.
     #[error("not an HTTP/1 head: {0}")]
     Syntax(httparse::Error),
-    /// The framing of the body can be read in two ways, or in none.
+    /// The framing of the body is ambiguous or unsupported.
     #[error("ambiguous framing: {0}")]
     Framing(&'static str),
-    /// A request without exactly one host.
-    #[error("a request names exactly one host")]
+    /// The request does not have exactly one valid `Host` field.
+    #[error("request needs exactly one valid Host field")]
     Host,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     Empty,
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks.
+    /// The body has the chunked transfer coding.
     Chunked,
-    /// Until the connection ends.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// Header fields in order, as they were sent.
+/// Header fields in their original order and spelling.
 #[derive(Clone, Debug, Default)]
 pub struct FieldList {
     bytes: Box<[u8]>,
@@ -63,14 +63,14 @@
         self.iter().filter(same).map(|(_, value)| value)
     }
 
-    /// The first value of a field, if it is text.
+    /// The first value of a field, if it is valid UTF-8.
     #[must_use]
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         let value = self.all(name).next()?;
         std::str::from_utf8(value).ok()
     }
 
-    /// Whether a comma-separated field holds a token.
+    /// Whether a comma-separated field contains a token, ignoring case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
@@ -79,7 +79,7 @@
             .any(|held| held.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Takes over parsed fields; they lie in `bytes`.
+    /// Copies `bytes` and the positions of the parsed fields, which are slices of it.
     fn capture(bytes: &[u8], parsed: &[httparse::Header<'_>]) -> Self {
         let base = bytes.as_ptr() as usize;
         let place = |part: &[u8]| {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Whether a field concerns one connection only.
+/// Whether a field applies to a single connection and must not be forwarded.
 #[must_use]
 pub fn is_hop_by_hop(fields: &FieldList, name: &str) -> bool {
     const NAMES: [&str; 9] = [
@@ -119,22 +119,22 @@
 pub struct RequestHead {
     /// The method.
     pub method: Box<str>,
-    /// The target as sent: path and query.
+    /// The request target as sent: path and query.
     pub target: Box<str>,
-    /// The host, without a port.
+    /// The host without the port; empty if an HTTP/1.0 request names none.
     pub host: Box<str>,
     /// The header fields.
     pub fields: FieldList,
     /// The framing of the body.
     pub framing: BodyFraming,
-    /// Whether the caller keeps the connection.
+    /// Whether the caller keeps the connection open.
     pub keep: bool,
-    /// Whether the caller understands chunks: HTTP/1.1 or newer.
+    /// Whether the caller accepts a chunked response, which HTTP/1.0 does not have.
     pub accepts_chunked: bool,
 }
 
 impl RequestHead {
-    /// Parses a whole head, empty line included.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
@@ -180,13 +180,13 @@
     pub fields: FieldList,
     /// The framing of the body.
     pub framing: BodyFraming,
-    /// Whether the server keeps the connection.
+    /// Whether the server keeps the connection open.
     pub keep: bool,
 }
 
 impl ResponseHead {
-    /// Parses a whole head, empty line included. `is_head_request` says that the
-    /// request was `HEAD`, whose answers have no body.
+    /// Parses a complete head, including the empty line. `is_head_request` tells
+    /// whether the request method was `HEAD`, whose responses have no body.
     ///
     /// # Errors
     ///
@@ -240,8 +240,10 @@
     let length = content_length(fields)?;
     let chunked = is_chunked(fields)?;
     match (length, chunked) {
-        (Some(_), true) => Err(HeadError::Framing("length beside chunks")),
-        (None, true) if !is_http11 => Err(HeadError::Framing("chunks before HTTP/1.1")),
+        (Some(_), true) => Err(HeadError::Framing(
+            "Content-Length together with Transfer-Encoding",
+        )),
+        (None, true) if !is_http11 => Err(HeadError::Framing("Transfer-Encoding before HTTP/1.1")),
         (None, true) => Ok(BodyFraming::Chunked),
         (Some(length), false) => Ok(BodyFraming::Length(length)),
         (None, false) => Ok(BodyFraming::Empty),
@@ -252,7 +254,9 @@
     let length = content_length(fields)?;
     let chunked = is_chunked(fields)?;
     match (length, chunked) {
-        (Some(_), true) => Err(HeadError::Framing("length beside chunks")),
+        (Some(_), true) => Err(HeadError::Framing(
+            "Content-Length together with Transfer-Encoding",
+        )),
         (None, true) => Ok(BodyFraming::Chunked),
         (Some(length), false) => Ok(BodyFraming::Length(length)),
         (None, false) => Ok(BodyFraming::UntilClose),
@@ -260,7 +264,7 @@
 }
 
 fn content_length(fields: &FieldList) -> Result<Option<u64>, HeadError> {
-    let malformed = HeadError::Framing("a length that is not one number");
+    let malformed = HeadError::Framing("invalid or conflicting Content-Length");
     let mut length = None;
     for value in fields.all("content-length") {
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
@@ -279,6 +283,6 @@
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(value), None) if value.eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(HeadError::Framing("a transfer coding other than chunked")),
+        _ => Err(HeadError::Framing("unsupported Transfer-Encoding")),
     }
 }
--- a/crates/guavawell-forward/src/http/mod.rs
+++ b/crates/guavawell-forward/src/http/mod.rs
@@ -1,9 +1,10 @@
-//! HTTP/1.1 as forwarding needs it: heads kept byte by byte, bodies decoded
-//! from either framing, and nothing that could be read in two ways.
+//! The part of HTTP/1.1 that forwarding needs. Header fields keep their original
+//! bytes, bodies may have a length or be chunked, and messages whose framing is
+//! ambiguous are rejected, since another server could read them differently.
 //!
-//! `async-h1` was weighed first: it normalises headers, reads a request's body
-//! lazily on the shared connection and flushes events late. `httparse` parses
-//! the heads here; framing is decided in this folder alone.
+//! `httparse` parses the heads; only this module decides on framing. `async-h1` does
+//! not fit: it normalises header fields, reads a request body lazily on the shared
+//! connection and flushes server-sent events late.
 
 mod body;
 mod channel;
--- a/crates/guavawell-forward/src/http/tries.rs
+++ b/crates/guavawell-forward/src/http/tries.rs
@@ -1,12 +1,11 @@
-//! Tries that stay open while later ones are begun.
+//! Hedged calls: earlier tries stay open while later ones are started.
 //!
-//! Load pattern: one organisation's callers press on one small instance. Their
-//! requests fill its link, and an answer that takes 5 ms elsewhere takes more
-//! than a second. A try that is given up at a limit for lost answers never ends
-//! well there, and nor does the next one: 46 questions for servers failed in a
-//! row, and a server that left still got requests 3.1 s later. Kept open, the
-//! first try is answered although it is late, and a connection on which an
-//! answer was lost still costs no more than the limit.
+//! Load pattern: one organisation's callers saturate the link of a small instance,
+//! and a response that takes 5 ms elsewhere takes more than a second. If each try
+//! were cancelled after a timeout meant for lost responses, none would ever succeed:
+//! 46 reads of the server list failed in a row, and a server that was leaving still
+//! got requests 3.1 s later. With the first try kept open, its late response counts,
+//! and a lost response still delays the call by no more than the timeout.
 
 use std::future::Future;
 use std::future::poll_fn;
@@ -20,14 +19,14 @@
 /// One try.
 pub type HedgedTry<'a, T, E> = Pin<Box<dyn Future<Output = Result<T, E>> + 'a>>;
 
-/// The tries of one question that are open, oldest first.
+/// The open tries of one call, oldest first.
 pub struct HedgedTries<'a, T, E> {
     open: Vec<HedgedTry<'a, T, E>>,
     max_open: usize,
 }
 
 impl<'a, T, E> HedgedTries<'a, T, E> {
-    /// No tries; of more than `max_open` the oldest is given up.
+    /// Creates an empty set. With more than `max_open` tries the oldest is cancelled.
     #[must_use]
     pub const fn new(max_open: usize) -> Self {
         Self {
@@ -36,12 +35,13 @@
         }
     }
 
-    /// Begins one more try and waits for the first answer of any, `delay` at
-    /// most. The others are given up once one is answered.
+    /// Starts one more try and waits up to `delay` for the first answer to any try,
+    /// which cancels the others.
     ///
-    /// `None` while all are open: begin the next one. The error of the newest try
-    /// is told at once, and earlier ones stay open: the way that failed is the
-    /// one that is in use now.
+    /// Returns `None` if all tries are still open; the caller may then start the next
+    /// one. An error of the newest try is returned at once while earlier ones stay
+    /// open, because new tries would use the same failed path. Errors of earlier tries
+    /// are ignored.
     pub async fn first_answer(
         &mut self,
         next: HedgedTry<'a, T, E>,
@@ -54,8 +54,8 @@
         self.next_answer(delay).await
     }
 
-    /// Waits for the first answer of any open try without beginning one more:
-    /// beside an answer that is arriving it would only share the link.
+    /// Waits up to `delay` for the first answer to any open try, without starting one
+    /// more, which would only compete for the link with a response that is arriving.
     pub async fn next_answer(&mut self, delay: Duration) -> Option<Result<T, E>> {
         let mut timeout = Timer::after(delay);
         poll_fn(|context| match self.poll_open(context) {
@@ -65,7 +65,7 @@
         .await
     }
 
-    /// Polls every try; one that failed while later ones are open is dropped.
+    /// Polls every try; drops one that failed while later ones are open.
     fn poll_open(&mut self, context: &mut Context<'_>) -> Poll<Result<T, E>> {
         let mut index = 0;
         while index < self.open.len() {
--- a/crates/guavawell-forward/src/http/write.rs
+++ b/crates/guavawell-forward/src/http/write.rs
@@ -1,15 +1,15 @@
-//! Heads and chunks on their way out.
+//! Writes message heads and chunks.
 
 use std::io::Write;
 
-/// Builds a head.
+/// Builds the head of a request or response.
 #[derive(Debug, Default)]
 pub struct HeadWriter {
     bytes: Vec<u8>,
 }
 
 impl HeadWriter {
-    /// A request's head.
+    /// Starts a request head.
     #[must_use]
     pub fn request(method: &str, target: &str) -> Self {
         let mut bytes = Vec::with_capacity(768);
@@ -19,7 +19,7 @@
         Self { bytes }
     }
 
-    /// A response's head.
+    /// Starts a response head.
     #[must_use]
     pub fn response(status: u16, reason: &str) -> Self {
         let mut head = Self {
@@ -37,18 +37,18 @@
         self.bytes.extend_from_slice(b"\r\n");
     }
 
-    /// Adds a field whose value is a number or other short text.
+    /// Adds a field whose value is formatted with `Display`.
     pub fn field_of(&mut self, name: &str, value: impl std::fmt::Display) {
         self.push(format_args!("{name}: {value}\r\n"));
     }
 
-    /// The head so far, to which more is added.
+    /// The head without its final empty line, for a field that is appended later.
     #[must_use]
     pub fn unfinished(self) -> Vec<u8> {
         self.bytes
     }
 
-    /// Ends the head.
+    /// The complete head, with its final empty line.
     #[must_use]
     pub fn finish(mut self) -> Vec<u8> {
         self.bytes.extend_from_slice(b"\r\n");
@@ -61,7 +61,7 @@
     }
 }
 
-/// Appends one chunk; an empty one would end the body, so it is left out.
+/// Appends one chunk. Empty content is skipped: an empty chunk would end the body.
 pub fn write_chunk(content: &[u8], output: &mut Vec<u8>) {
     if content.is_empty() {
         return;
