--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -58,12 +58,12 @@
         tokens: u64,
         limit: ClockSpan,
     ) -> bool {
-        let end = self.clock.now() + limit;
+        let deadline = self.clock.now() + limit;
         let loan = self.loan_ask(organisation, tokens);
         for (instance, address) in self.choose_lenders(organisation, loan) {
             let loan = self.loan_ask(organisation, tokens);
             let Some(answer) = self
-                .request_loan(organisation, &instance, address, loan, end)
+                .request_loan(organisation, &instance, address, loan, deadline)
                 .await
             else {
                 continue;
@@ -72,8 +72,8 @@
                 return true;
             }
         }
-        let mut book = self.book.borrow_mut();
-        book.note_declined(organisation, tokens, self.clock.now());
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.note_declined(organisation, tokens, self.clock.now());
         false
     }
 
@@ -86,8 +86,8 @@
         tokens: u64,
         limit: ClockSpan,
     ) -> ShareOutcome {
-        let end = self.clock.now() + limit;
-        let order = self.book.borrow().holder_order(organisation);
+        let deadline = self.clock.now() + limit;
+        let order = self.ledger.borrow().holder_order(organisation);
         let mut holders: Vec<(InstanceId, SocketAddr)> = order
             .into_iter()
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
@@ -100,7 +100,7 @@
             let (instance, address) = holders.remove(0);
             let loan = self.loan_ask(organisation, tokens);
             let answer = self
-                .request_loan(organisation, &instance, address, loan, end)
+                .request_loan(organisation, &instance, address, loan, deadline)
                 .await;
             match answer {
                 Some(answer) if answer.tokens >= loan.needed => return ShareOutcome::Lent,
@@ -120,8 +120,8 @@
     }
 
     fn loan_ask(&self, organisation: &OrganisationId, tokens: u64) -> LoanAsk {
-        let book = self.book.borrow();
-        book.loan_ask(organisation, tokens, self.clock.now())
+        let ledger = self.ledger.borrow();
+        ledger.loan_ask(organisation, tokens, self.clock.now())
     }
 
     /// Asks one instance for a loan and books what it lends; `None` without an
@@ -132,14 +132,14 @@
         instance: &InstanceId,
         address: SocketAddr,
         loan: LoanAsk,
-        end: ClockTime,
+        deadline: ClockTime,
     ) -> Option<LoanAnswer> {
-        let rest = timer_span(end.since(self.clock.now()));
-        if rest.is_zero() || self.peers.key().is_none() {
+        let time_left = timer_span(deadline.since(self.clock.now()));
+        if time_left.is_zero() || self.peers.key().is_none() {
             return None;
         }
         let request = PeerRequest::Loan(organisation.clone(), loan);
-        let limit = LOAN_TIMEOUT.min(rest);
+        let limit = LOAN_TIMEOUT.min(time_left);
         let response = self.peers.send_request(address, &request, limit);
         let result = response
             .await
@@ -162,9 +162,9 @@
                 nonce,
             };
             let now = self.clock.now();
-            let mut book = self.book.borrow_mut();
-            book.take_loan(organisation, lender, answer.tokens, now);
-            drop(book);
+            let mut ledger = self.ledger.borrow_mut();
+            ledger.take_loan(organisation, lender, answer.tokens, now);
+            drop(ledger);
             self.record_loan("budget.borrowed", organisation, instance, loan, answer);
         }
         Some(answer)
@@ -189,8 +189,8 @@
         organisation: &OrganisationId,
         loan: LoanAsk,
     ) -> Vec<(InstanceId, SocketAddr)> {
-        let held = self.book.borrow().lenders(organisation);
-        let mut able: Vec<(InstanceId, u64, SocketAddr)> = held
+        let held = self.ledger.borrow().lenders(organisation);
+        let mut candidates: Vec<(InstanceId, u64, SocketAddr)> = held
             .into_iter()
             .filter(|(_, free)| *free >= loan.needed.div_ceil(2))
             .filter_map(|(instance, free)| {
@@ -199,22 +199,22 @@
             })
             .collect();
         let now = self.clock.now();
-        let early = self.book.borrow().early_lenders(organisation, now);
+        let early = self.ledger.borrow().early_lenders(organisation, now);
         let mut chosen: Vec<(InstanceId, SocketAddr)> = early
             .into_iter()
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
             .take(MAX_EARLY_LENDERS)
             .collect();
-        able.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
-        while chosen.len() < MAX_LENDERS && !able.is_empty() {
-            let sum: u64 = able.iter().map(|(_, free, _)| free).sum();
+        candidates.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
+        while chosen.len() < MAX_LENDERS && !candidates.is_empty() {
+            let sum: u64 = candidates.iter().map(|(_, free, _)| free).sum();
             let mut draw = fastrand::u64(..sum);
-            let place = able.iter().position(|(_, free, _)| {
+            let index = candidates.iter().position(|(_, free, _)| {
                 let hit = draw < *free;
                 draw = draw.saturating_sub(*free);
                 hit
             });
-            let (instance, _, address) = able.swap_remove(place.unwrap_or_default());
+            let (instance, _, address) = candidates.swap_remove(index.unwrap_or_default());
             chosen.push((instance, address));
         }
         if self.is_cut_off() {
@@ -236,7 +236,7 @@
     pub(super) async fn send_due_returns(self: Rc<Self>) {
         loop {
             Timer::after(RETURN_CHECK_INTERVAL).await;
-            let due = self.book.borrow_mut().due_returns(self.clock.now());
+            let due = self.ledger.borrow_mut().due_returns(self.clock.now());
             for loan_return in due {
                 if let Err(error) = self.send_return(&loan_return).await {
                     self.log_lost_return(&loan_return, &error);
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -85,14 +85,14 @@
     fn record_answer(&self, what: &str, time: Option<ClockTime>, started: ClockTime) {
         let now = self.clock.now();
         let took = now.since(started).as_millis();
-        let usual =
+        let mean_ms =
             (self.mean_latency_ms.get() * (LATENCY_WINDOW - 1) + took).div_ceil(LATENCY_WINDOW);
-        self.mean_latency_ms.set(usual);
-        let mut book = self.book.borrow_mut();
-        book.tell_answer(ClockSpan::from_millis(usual));
-        drop(book);
+        self.mean_latency_ms.set(mean_ms);
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.tell_answer(ClockSpan::from_millis(mean_ms));
+        drop(ledger);
         if let Some(time) = time {
-            self.book.borrow_mut().tell_time(time, started, now);
+            self.ledger.borrow_mut().tell_time(time, started, now);
         }
         if let Some(since) = self.failing_since.take() {
             let draft = EventDraft::new("store.regained")
@@ -122,10 +122,10 @@
     fn record_rate_limit(&self, what: &str) {
         metrics::counter!("guavawell_forward_store_limited_total").increment(1);
         let now = self.clock.now();
-        let (count, told) = self.rate_limited.get();
+        let (count, logged_at) = self.rate_limited.get();
         let count = count + 1;
-        if told.is_some_and(|told| now.since(told) < RATE_LIMIT_LOG_INTERVAL) {
-            self.rate_limited.set((count, told));
+        if logged_at.is_some_and(|logged_at| now.since(logged_at) < RATE_LIMIT_LOG_INTERVAL) {
+            self.rate_limited.set((count, logged_at));
             return;
         }
         self.rate_limited.set((0, Some(now)));
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -83,7 +83,7 @@
                     }
                     let answer = self.lend(&organisation, loan).await;
                     self.record_loan("budget.lent", &organisation, &head.host, loan, answer);
-                    write_loan_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
+                    write_loan_answer(&mut writer, answer, self.ledger.borrow().lender_id().nonce);
                 }
                 Some(PeerRequest::Return(loan_return)) => self.receive_return(&loan_return),
                 Some(PeerRequest::Suspects(list)) => self.poison.learn(&list, &"another"),
@@ -131,7 +131,7 @@
     }
 
     fn receive_return(&self, loan_return: &LoanReturn) {
-        if self.book.borrow_mut().take_return(loan_return) {
+        if self.ledger.borrow_mut().take_return(loan_return) {
             if loan_return.unspent > 0 {
                 self.changed.notify(usize::MAX);
             }
@@ -149,33 +149,33 @@
     async fn lend(self: &Rc<Self>, organisation: &OrganisationId, loan: LoanAsk) -> LoanAnswer {
         let lend_whole = || {
             let now = self.clock.now();
-            self.book.borrow_mut().lend_whole(organisation, loan, now)
+            self.ledger.borrow_mut().lend_whole(organisation, loan, now)
         };
         let answer = lend_whole();
         if answer.tokens > 0 {
             return answer;
         }
         let now = self.clock.now();
-        let missing_tokens = self.book.borrow().lend_later(organisation, loan, now);
+        let missing_tokens = self.ledger.borrow().lend_later(organisation, loan, now);
         if let (Some(missing), false) = (missing_tokens, self.is_cut_off()) {
             let _waiting = DemandGuard::new(self, organisation, missing);
             self.wake_writers();
-            let end = now + MAX_LEND_WAIT;
+            let deadline = now + MAX_LEND_WAIT;
             loop {
                 let changed = self.changed.listen();
                 let answer = lend_whole();
                 if answer.tokens > 0 {
                     return answer;
                 }
-                let rest = self.clock.left(end);
-                if rest == ClockSpan::default() {
+                let time_left = self.clock.left(deadline);
+                if time_left == ClockSpan::default() {
                     break;
                 }
-                wait_until(changed, timer_span(rest)).await;
+                wait_until(changed, timer_span(time_left)).await;
             }
         }
         let now = self.clock.now();
-        self.book.borrow_mut().lend(organisation, loan, now)
+        self.ledger.borrow_mut().lend(organisation, loan, now)
     }
 
     pub(super) fn record_loan(
@@ -187,7 +187,7 @@
         answer: LoanAnswer,
     ) {
         metrics::counter!("guavawell_forward_loans_total", "kind" => kind.to_owned()).increment(1);
-        let facts = self.book.borrow().facts(organisation, self.clock.now());
+        let facts = self.ledger.borrow().facts(organisation, self.clock.now());
         let draft = EventDraft::new(kind)
             .organisation(organisation)
             .field("other", other)
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -23,7 +23,7 @@
     pub(super) async fn start_boot(&self) {
         loop {
             if self.try_start_boot().await {
-                let boot = self.book.borrow().boot();
+                let boot = self.ledger.borrow().boot();
                 let draft = EventDraft::new("budget.boot").field("boot", boot);
                 self.log.emit(draft);
                 return;
@@ -37,30 +37,30 @@
         if !self.read_limits().await {
             return false;
         }
-        if self.book.borrow().boot() > 0 {
+        if self.ledger.borrow().boot() > 0 {
             return true;
         }
-        let Some(row) = self.book.borrow().first_lines(self.clock.now()) else {
+        let Some(row) = self.ledger.borrow().first_lines(self.clock.now()) else {
             return false;
         };
         self.log_previous_boot();
-        self.store_limits(row).await && self.book.borrow().boot() > 0
+        self.store_limits(row).await && self.ledger.borrow().boot() > 0
     }
 
     /// Logs the most that the previous boot can have spent, by its last row.
     fn log_previous_boot(&self) {
-        let book = self.book.borrow();
-        let Some((before, ended)) = book.former_lines() else {
+        let ledger = self.ledger.borrow();
+        let Some((previous, ended)) = ledger.former_lines() else {
             return;
         };
-        let age = ended.since(before.at);
-        for line in &before.lines {
+        let age = ended.since(previous.at);
+        for limit in &previous.lines {
             let draft = EventDraft::new("budget.closed")
-                .organisation(&line.organisation)
-                .field("boot", before.boot)
-                .field("spent", line.spent)
-                .field("burst", line.burst)
-                .field("most", line.allowance(age))
+                .organisation(&limit.organisation)
+                .field("boot", previous.boot)
+                .field("spent", limit.spent)
+                .field("burst", limit.burst)
+                .field("most", limit.allowance(age))
                 .field("age_ms", age.as_millis());
             self.log.emit(draft);
         }
@@ -81,10 +81,10 @@
 
     /// Writes the row if that is due; false if a call to the store failed.
     pub(super) async fn write_due_limits(&self) -> bool {
-        if self.book.borrow().lines_unsure() && !self.read_limits().await {
+        if self.ledger.borrow().lines_unsure() && !self.read_limits().await {
             return false;
         }
-        let Some(row) = self.book.borrow().next_lines(self.clock.now()) else {
+        let Some(row) = self.ledger.borrow().next_lines(self.clock.now()) else {
             return true;
         };
         self.store_limits(row).await
@@ -101,43 +101,43 @@
         let DecodedRow::Readable(row) = self.decode::<LineRow>(&self.limit_key(), state) else {
             return false;
         };
-        let own = self.book.borrow_mut().saw_lines(state.version, row);
+        let is_own = self.ledger.borrow_mut().saw_lines(state.version, row);
         self.changed.notify(usize::MAX);
-        if !own {
+        if !is_own {
             log::error!(
                 "another process with instance id {} has written this instance's row",
                 self.instance
             );
         }
-        own
+        is_own
     }
 
     pub(super) async fn store_limits(&self, row: LineRow) -> bool {
         let Some(bytes) = encode(&row) else {
             return false;
         };
-        let version = self.book.borrow().lines_version();
-        self.book.borrow_mut().sent_lines(row, self.clock.now());
+        let version = self.ledger.borrow().lines_version();
+        self.ledger.borrow_mut().sent_lines(row, self.clock.now());
         let answer = self
             .write_row("lines", self.limit_key(), version, bytes)
             .await;
         metrics::counter!("guavawell_forward_line_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().wrote_lines(version);
+                self.ledger.borrow_mut().wrote_lines(version);
                 self.changed.notify(usize::MAX);
                 true
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().dropped_lines();
+                self.ledger.borrow_mut().dropped_lines();
                 self.apply_limits(&state)
             }
             Err(StoreFault::NotDone(_) | StoreFault::Limited | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().dropped_lines();
+                self.ledger.borrow_mut().dropped_lines();
                 false
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().lost_lines();
+                self.ledger.borrow_mut().lost_lines();
                 false
             }
         }
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -88,7 +88,7 @@
     peers: Rc<PeerRegistry>,
     /// Requests suspected of crashing servers; instances share them directly.
     poison: Rc<PoisonTracker>,
-    book: RefCell<GrantBook>,
+    ledger: RefCell<GrantBook>,
     /// Notified when a change in the book may let a waiting reservation succeed.
     changed: Event,
     /// Notified when the spending limits may have to be written.
@@ -123,7 +123,7 @@
             clock,
             log,
             store,
-            book: RefCell::new(GrantBook::new(
+            ledger: RefCell::new(GrantBook::new(
                 member.instance.clone(),
                 nonce,
                 SteadyClock::ORIGIN,
@@ -152,21 +152,21 @@
     /// Sets the tokens that an organisation paid for, by a version of the
     /// configuration.
     pub fn set_paid(&self, organisation: &OrganisationId, paid: u64, version: u64) {
-        let mut book = self.book.borrow_mut();
-        book.set_paid(organisation, paid, version);
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.set_paid(organisation, paid, version);
         self.budget_wakeup.notify(usize::MAX);
     }
 
     /// Whether this boot has begun and every budget that it holds was read.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.book.borrow().is_open()
+        self.ledger.borrow().is_open()
     }
 
     /// The number of instances in the fleet, as the book assumes it.
     #[must_use]
     pub fn instances(&self) -> usize {
-        self.book.borrow().instances()
+        self.ledger.borrow().instances()
     }
 
     /// Starts the tasks that read and write rows and call other instances.
--- a/crates/guavawell-forward/src/budget/peers.rs
+++ b/crates/guavawell-forward/src/budget/peers.rs
@@ -93,7 +93,7 @@
     pub(super) async fn read_peers(&self) -> bool {
         match (self.store.table)(PEER_TABLE).await {
             Ok(rows) => {
-                self.book.borrow_mut().set_instances(rows.len());
+                self.ledger.borrow_mut().set_instances(rows.len());
                 self.apply_peers(&rows);
                 true
             }
@@ -129,7 +129,7 @@
             zone: self.zone.clone(),
         });
         self.peers.set_endpoints(endpoints);
-        self.book.borrow_mut().set_fleet(fleet);
+        self.ledger.borrow_mut().set_fleet(fleet);
         self.budget_wakeup.notify(usize::MAX);
     }
 }
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -94,9 +94,9 @@
 
 impl Drop for TokenReservation {
     fn drop(&mut self) {
-        let mut book = self.manager.book.borrow_mut();
+        let mut ledger = self.manager.ledger.borrow_mut();
         let spent = self.spent.get();
-        book.settle_loan(&self.organisation, self.reserved, self.borrowed, spent);
+        ledger.settle_loan(&self.organisation, self.reserved, self.borrowed, spent);
     }
 }
 
@@ -113,7 +113,7 @@
         organisation: &'a OrganisationId,
         tokens: u64,
     ) -> Self {
-        manager.book.borrow_mut().wait(organisation, tokens, true);
+        manager.ledger.borrow_mut().wait(organisation, tokens, true);
         Self {
             manager,
             organisation,
@@ -124,8 +124,8 @@
 
 impl Drop for DemandGuard<'_> {
     fn drop(&mut self) {
-        let mut book = self.manager.book.borrow_mut();
-        book.wait(self.organisation, self.tokens, false);
+        let mut ledger = self.manager.ledger.borrow_mut();
+        ledger.wait(self.organisation, self.tokens, false);
     }
 }
 
@@ -227,7 +227,7 @@
         BudgetRefusal {
             answer,
             cause,
-            facts: self.book.borrow().facts(organisation, now),
+            facts: self.ledger.borrow().facts(organisation, now),
             waited,
             store_outage: since.map_or(ClockSpan::default(), |since| now.since(since)),
         }
@@ -236,20 +236,20 @@
     /// Whether this instance is a holder of an organisation's budget.
     fn holds_tokens(&self, organisation: &OrganisationId) -> bool {
         let now = self.clock.now();
-        self.book.borrow().is_holder(organisation, now)
+        self.ledger.borrow().is_holder(organisation, now)
     }
 
     /// Makes this instance a holder in place of holders that do not answer.
     fn stand_in(&self, organisation: &OrganisationId) {
         let now = self.clock.now();
-        self.book.borrow_mut().stand_in(organisation, now);
+        self.ledger.borrow_mut().stand_in(organisation, now);
         self.wake_writers();
     }
 
     fn try_reserve(&self, organisation: &OrganisationId, tokens: u64) -> ReserveAnswer {
         let now = self.clock.now();
-        let mut book = self.book.borrow_mut();
-        book.reserve(organisation, tokens, now)
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.reserve(organisation, tokens, now)
     }
 
     /// Whether to borrow from other instances now: at once if the row has too few
@@ -263,8 +263,8 @@
         refused: bool,
     ) -> bool {
         let cut_off = self.is_cut_off();
-        let book = self.book.borrow();
-        let may = |away| book.may_borrow(organisation, tokens, away, self.clock.now());
+        let ledger = self.ledger.borrow();
+        let may = |away| ledger.may_borrow(organisation, tokens, away, self.clock.now());
         match answer {
             ReserveAnswer::Short => may(cut_off || refused),
             ReserveAnswer::Locked(_) => refused && may(true),
@@ -289,9 +289,9 @@
 
     /// The limit on the time that a request waits for the store.
     fn store_wait(&self, time_left: ClockSpan) -> ClockSpan {
-        let usual = self.mean_latency_ms.get() * STORE_WAIT_LATENCIES;
-        let most = usual.clamp(MIN_STORE_WAIT_MS, MAX_STORE_WAIT_MS);
-        ClockSpan::from_millis(most).min(max_wait(time_left))
+        let wait = self.mean_latency_ms.get() * STORE_WAIT_LATENCIES;
+        let wait = wait.clamp(MIN_STORE_WAIT_MS, MAX_STORE_WAIT_MS);
+        ClockSpan::from_millis(wait).min(max_wait(time_left))
     }
 
     /// The pause before the next attempt to reserve, or the refusal if waiting
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -69,10 +69,11 @@
         let mut watched: Vec<OrganisationId> = Vec::new();
         loop {
             let wakeup = self.budget_wakeup.listen();
-            let known: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
+            let known: Vec<OrganisationId> =
+                self.ledger.borrow().organisations().cloned().collect();
             for id in known {
-                if let Err(place) = watched.binary_search(&id) {
-                    watched.insert(place, id.clone());
+                if let Err(index) = watched.binary_search(&id) {
+                    watched.insert(index, id.clone());
                     let manager = Rc::clone(&self);
                     executor
                         .spawn(async move { manager.maintain_budget(&id).await })
@@ -98,15 +99,15 @@
                 Timer::after(timer_span(passed_over)).await;
                 since = self.newest_version_after(since).await;
             }
-            let rest = interval.as_millis() - passed_over.as_millis();
-            Timer::after(Duration::from_millis(rest)).await;
-            let usual = self.mean_latency_ms.get();
-            let began = self.clock.now();
+            let remaining = interval.as_millis() - passed_over.as_millis();
+            Timer::after(Duration::from_millis(remaining)).await;
+            let typical_ms = self.mean_latency_ms.get();
+            let started = self.clock.now();
             match (self.store.changes)(BUDGET_TABLE, since).await {
                 Ok(changes) => {
                     since = changes.newest;
-                    let took = self.clock.now().since(began).as_millis();
-                    let extra = ClockSpan::from_millis(took.saturating_sub(usual));
+                    let took = self.clock.now().since(started).as_millis();
+                    let extra = ClockSpan::from_millis(took.saturating_sub(typical_ms));
                     window.answered(extra, interval);
                     self.apply_changes(&changes);
                 }
@@ -124,14 +125,14 @@
 
     /// Time between two polls for other instances' writes.
     fn poll_interval(&self) -> ClockSpan {
-        let contended = self.book.borrow().is_contended(self.clock.now());
-        let (base, each) = if contended {
+        let contended = self.ledger.borrow().is_contended(self.clock.now());
+        let (base, per_writer) = if contended {
             (CONTENDED_POLL_INTERVAL, CONTENDED_POLL_INTERVAL_PER_WRITER)
         } else {
             (POLL_INTERVAL, POLL_INTERVAL_PER_WRITER)
         };
-        let writers = self.book.borrow().row_writers() as u64;
-        ClockSpan::from_millis(base.as_millis() + each.as_millis() * writers)
+        let writers = self.ledger.borrow().row_writers() as u64;
+        ClockSpan::from_millis(base.as_millis() + per_writer.as_millis() * writers)
     }
 
     /// The store's newest version. Reads one small row to learn it, unless an
@@ -150,7 +151,7 @@
             let Ok(id) = part.parse::<OrganisationId>() else {
                 continue;
             };
-            let known = self.book.borrow().budget_version(&id);
+            let known = self.ledger.borrow().budget_version(&id);
             if state.version > known && known > 0 && self.apply_budget(&id, state) {
                 self.budget_wakeup.notify(usize::MAX);
             }
@@ -159,9 +160,9 @@
 
     /// Keeps one budget's row up to date, for as long as the process runs.
     async fn maintain_budget(&self, id: &OrganisationId) {
-        let writers = u32::try_from(self.book.borrow().row_writers()).unwrap_or(u32::MAX);
-        let spread = START_JITTER_PER_WRITER * writers;
-        Timer::after(spread.mul_f64(fastrand::f64())).await;
+        let writers = u32::try_from(self.ledger.borrow().row_writers()).unwrap_or(u32::MAX);
+        let max_jitter = START_JITTER_PER_WRITER * writers;
+        Timer::after(max_jitter.mul_f64(fastrand::f64())).await;
         let mut pace = WritePace::new(PaceSettings::default());
         loop {
             let wakeup = self.budget_wakeup.listen();
@@ -184,15 +185,15 @@
 
     /// Reads the budget's row if its state is unknown, and writes it if that is due.
     async fn update_budget(&self, id: &OrganisationId) -> UpdateOutcome {
-        if !self.book.borrow().tends(id, self.clock.now()) {
+        if !self.ledger.borrow().tends(id, self.clock.now()) {
             return UpdateOutcome::NothingDue;
         }
-        let unsure = self.book.borrow().budget_unsure(id);
-        if unsure && !self.read_budget(id).await {
+        let must_read = self.ledger.borrow().budget_unsure(id);
+        if must_read && !self.read_budget(id).await {
             return UpdateOutcome::Failed;
         }
         for _ in 0..MAX_WRITE_ATTEMPTS {
-            let Some(row) = self.book.borrow().next_budget(id, self.clock.now()) else {
+            let Some(row) = self.ledger.borrow().next_budget(id, self.clock.now()) else {
                 return UpdateOutcome::NothingDue;
             };
             match self.write_budget(id, row).await {
@@ -216,7 +217,7 @@
         let DecodedRow::Readable(row) = self.decode::<BudgetRow>(&budget_key(id), state) else {
             return false;
         };
-        self.book.borrow_mut().saw_budget(id, state.version, row);
+        self.ledger.borrow_mut().saw_budget(id, state.version, row);
         self.changed.notify(usize::MAX);
         true
     }
@@ -225,9 +226,9 @@
         let Some(bytes) = encode(&row) else {
             return WriteOutcome::Failed;
         };
-        let version = self.book.borrow().budget_version(id);
-        let before = self.book.borrow().granted(id);
-        self.book
+        let version = self.ledger.borrow().budget_version(id);
+        let previous_grant = self.ledger.borrow().granted(id);
+        self.ledger
             .borrow_mut()
             .sent_budget(id, row, self.clock.now());
         let answer = self
@@ -236,14 +237,14 @@
         metrics::counter!("guavawell_forward_budget_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().wrote_budget(id, version);
+                self.ledger.borrow_mut().wrote_budget(id, version);
                 self.changed.notify(usize::MAX);
                 self.limit_wakeup.notify(usize::MAX);
-                self.log_grant(id, before, version);
+                self.log_grant(id, previous_grant, version);
                 WriteOutcome::Written
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.ledger.borrow_mut().dropped_budget(id);
                 if self.apply_budget(id, &state) {
                     WriteOutcome::Changed
                 } else {
@@ -251,25 +252,25 @@
                 }
             }
             Err(StoreFault::Limited) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.ledger.borrow_mut().dropped_budget(id);
                 WriteOutcome::RateLimited
             }
             Err(StoreFault::NotDone(_) | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().dropped_budget(id);
+                self.ledger.borrow_mut().dropped_budget(id);
                 WriteOutcome::Failed
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().lost_budget(id);
+                self.ledger.borrow_mut().lost_budget(id);
                 WriteOutcome::Failed
             }
         }
     }
 
-    fn log_grant(&self, id: &OrganisationId, before: u64, version: u64) {
-        let facts = self.book.borrow().facts(id, self.clock.now());
+    fn log_grant(&self, id: &OrganisationId, previous_grant: u64, version: u64) {
+        let facts = self.ledger.borrow().facts(id, self.clock.now());
         let draft = EventDraft::new("budget.granted")
             .organisation(id)
-            .field("before", before)
+            .field("before", previous_grant)
             .field("grant", facts.grant)
             .field("used", facts.used)
             .field("paid", facts.paid)
@@ -281,20 +282,20 @@
 
     /// Gives all grants back before the process ends.
     pub async fn give_back(&self) {
-        self.book.borrow_mut().leave();
-        let ids: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
+        self.ledger.borrow_mut().leave();
+        let ids: Vec<OrganisationId> = self.ledger.borrow().organisations().cloned().collect();
         for id in ids {
             for _ in 0..MAX_WRITE_ATTEMPTS {
                 // The budget's own task may still be writing the row.
-                if self.book.borrow().budget_writing(&id) {
+                if self.ledger.borrow().budget_writing(&id) {
                     Timer::after(PENDING_WRITE_CHECK_INTERVAL).await;
                     continue;
                 }
-                let unsure = self.book.borrow().budget_unsure(&id);
-                if unsure && !self.read_budget(&id).await {
+                let must_read = self.ledger.borrow().budget_unsure(&id);
+                if must_read && !self.read_budget(&id).await {
                     break;
                 }
-                let Some(row) = self.book.borrow().last_budget(&id) else {
+                let Some(row) = self.ledger.borrow().last_budget(&id) else {
                     break;
                 };
                 if self.write_budget(&id, row).await != WriteOutcome::Changed {
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -186,8 +186,8 @@
                 return None;
             }
         };
-        let read = self.decode_cached(bytes);
-        let config = read
+        let decoded = self.decode_cached(bytes);
+        let config = decoded
             .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
         let mut versions = self.versions.borrow_mut();
@@ -230,9 +230,9 @@
     /// cancels it.
     fn schedule_query(&self, delay: ClockSpan) {
         let at = self.clock.now() + delay;
-        let before = self.query_due_at.get();
+        let due_at = self.query_due_at.get();
         self.query_due_at
-            .set(Some(before.map_or(at, |due| due.min(at))));
+            .set(Some(due_at.map_or(at, |due| due.min(at))));
         self.query_wakeup.notify(usize::MAX);
     }
 
@@ -337,10 +337,10 @@
     }
 
     fn activate(&self, config: &Rc<ForwardConfig>, source: ConfigSource, age: ClockSpan) {
-        let before = self.current.replace(Some(Rc::clone(config)));
+        let previous = self.current.replace(Some(Rc::clone(config)));
         let draft = EventDraft::new("config.in_force")
             .field("version", config.version)
-            .field("before", before.map_or(0, |held| held.version))
+            .field("before", previous.map_or(0, |held| held.version))
             .field("source", source.as_str())
             .field("age_ms", age.as_millis())
             .field("organisations", config.organisations.len());
@@ -354,9 +354,9 @@
         let stored = self.stored.borrow();
         let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
         let version = |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |held| held.version);
-        let before = self.current.replace(replacement.clone());
+        let previous = self.current.replace(replacement.clone());
         let draft = EventDraft::new("config.disowned")
-            .field("version", version(before.as_ref()))
+            .field("version", version(previous.as_ref()))
             .field("instead", version(replacement.as_ref()));
         self.log.emit(draft);
     }
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -123,13 +123,13 @@
         fingerprint: RequestFingerprint,
         max_wait: ClockSpan,
     ) -> Option<ClockSpan> {
-        let until = self.clock.now() + max_wait;
+        let deadline = self.clock.now() + max_wait;
         while let PoisonVerdict::Undecided(span) = self.verdict(fingerprint) {
-            let rest = span.min(self.clock.left(until));
-            if rest == ClockSpan::ZERO {
+            let pause = span.min(self.clock.left(deadline));
+            if pause == ClockSpan::ZERO {
                 return Some(span);
             }
-            Timer::after(timer_span(rest)).await;
+            Timer::after(timer_span(pause)).await;
         }
         self.refused_for(fingerprint)?;
         metrics::counter!("guavawell_forward_poison_refused_total").increment(1);
@@ -267,7 +267,7 @@
 
     fn apply_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
         let now = self.clock.now();
-        let mut learned = 0;
+        let mut merged = 0;
         for told in list.aged(self.store_clock.get().now(now)) {
             let change = self.table.borrow_mut().learn(told, own, now);
             let Some(change) = change else {
@@ -278,13 +278,13 @@
             } else if is_repeat_crash(change) {
                 self.record_change(change, &format_args!("told by {from}"));
             } else {
-                learned += 1;
+                merged += 1;
             }
         }
-        if learned > 0 {
+        if merged > 0 {
             let draft = EventDraft::new("poison.learned")
                 .field("from", from)
-                .field("requests", learned);
+                .field("requests", merged);
             self.log.emit(draft);
         }
     }
