--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -28,8 +28,8 @@
 const LOAN_TIMEOUT: Duration = Duration::from_millis(150);
 /// Instances that a holder asks for a loan, for one request.
 const MAX_LENDERS: usize = 4;
-/// Largest number of these that are asked because their spending limits unlock
-/// tokens early while the store is out of reach.
+/// Largest number of these that are chosen because their spending limits unlock
+/// tokens early; see `GrantBook::early_lenders`.
 const MAX_EARLY_LENDERS: usize = 2;
 /// Holders that another instance asks for one request: when a budget is nearly
 /// used up, the remaining tokens may be in any zone.
@@ -124,7 +124,7 @@
         ledger.loan_ask(organisation, tokens, self.clock.now())
     }
 
-    /// Asks one instance for a loan and books what it lends; `None` without an
+    /// Asks one instance for a loan and records it in the ledger; `None` without an
     /// answer.
     async fn request_loan(
         &self,
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Ends the connection without a loan because the borrower has closed it or
-    /// sent more. It timed out, for example while this process was suspended, and
-    /// tokens lent to it would stay spent.
+    /// Ends the connection without a loan, because the borrower no longer waits for
+    /// the answer: it timed out, for example while this process was suspended. Tokens
+    /// lent to it would stay spent.
     fn decline_departed(
         &self,
         organisation: &OrganisationId,
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -1,8 +1,12 @@
 //! Token budgets of this instance.
 //!
-//! `guavawell_core::grant::GrantBook` decides without I/O what may be reserved
-//! and which rows must be written. This module makes the calls to the store and
-//! to other instances, and lets requests wait for their results.
+//! `guavawell_core::grant::GrantBook` is the ledger: it decides without I/O what may
+//! be reserved and which rows must be written. This module makes the calls to the
+//! store and to other instances, and lets requests wait for their results.
+//!
+//! In a large fleet only a few instances, the holders, have tokens of an
+//! organisation; the others borrow tokens from them for each request. A boot is one
+//! run of an instance's process.
 
 mod borrow;
 mod calls;
@@ -89,7 +93,7 @@
     /// Requests suspected of crashing servers; instances share them directly.
     poison: Rc<PoisonTracker>,
     ledger: RefCell<GrantBook>,
-    /// Notified when a change in the book may let a waiting reservation succeed.
+    /// Notified when a change in the ledger may let a waiting reservation succeed.
     changed: Event,
     /// Notified when the spending limits may have to be written.
     limit_wakeup: Event,
@@ -107,7 +111,7 @@
 }
 
 impl BudgetManager {
-    /// Creates a manager with an empty book.
+    /// Creates a manager with an empty ledger.
     #[must_use]
     pub fn new(
         member: FleetMember,
@@ -163,7 +167,7 @@
         self.ledger.borrow().is_open()
     }
 
-    /// The number of instances in the fleet, as the book assumes it.
+    /// The number of instances in the fleet, as the ledger assumes it.
     #[must_use]
     pub fn instances(&self) -> usize {
         self.ledger.borrow().instances()
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -24,9 +24,8 @@
 /// time. It must cover a write of the grant, one of the spending limits, and a
 /// retry after a conflict.
 const STORE_WAIT_LATENCIES: u64 = 4;
-/// Longest wait until the spending limit unlocks a request's tokens by itself, also
-/// while the store does not answer: about half the time to the first token that
-/// callers expect.
+/// Longest wait for the spending limit to unlock a request's tokens by the passing of
+/// time, which needs no store: about half of the expected time to the first token.
 const MAX_LOCK_WAIT: ClockSpan = ClockSpan::from_millis(250);
 /// Time that a request waits for tokens that another instance holds: one poll by
 /// that instance and three responses of the store.
@@ -49,7 +48,7 @@
 pub struct BudgetRefusal {
     /// The response for the caller.
     pub answer: RefusalAnswer,
-    /// The book's last answer.
+    /// The ledger's last answer.
     pub cause: ReserveAnswer,
     /// The figures that the decision rests on.
     pub facts: BudgetFacts,
@@ -59,7 +58,7 @@
     pub store_outage: ClockSpan,
 }
 
-/// Tokens reserved for one request; dropping it settles them with the book.
+/// Tokens reserved for one request; dropping it settles them in the ledger.
 #[derive(Debug)]
 pub struct TokenReservation {
     manager: Rc<BudgetManager>,
@@ -100,7 +99,7 @@
     }
 }
 
-/// Counts tokens as demand in the book while a request waits for them.
+/// Counts tokens as demand in the ledger while a request waits for them.
 pub(super) struct DemandGuard<'a> {
     manager: &'a BudgetManager,
     organisation: &'a OrganisationId,
@@ -357,8 +356,8 @@
     }
 }
 
-/// The longest total wait for the spending limit: other requests may take the
-/// tokens that it unlocks meanwhile.
+/// The longest total wait for the spending limit, since other requests may take the
+/// tokens that it unlocks first.
 fn lock_wait(store_wait: ClockSpan) -> ClockSpan {
     store_wait.max(MAX_LOCK_WAIT)
 }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -77,7 +77,7 @@
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// The newest configuration read from the store.
     stored: RefCell<Option<CachedConfig>>,
-    /// Age of the configuration from which an answer of the store is overdue.
+    /// Age of the configuration beyond which an answer of the store is overdue.
     overdue_after: ClockSpan,
     /// Time after which a poll of the store without an answer counts as failed.
     answer_timeout: ClockSpan,
@@ -86,7 +86,7 @@
     /// When to query other instances: set after a poll without an answer, or when
     /// another instance names a newer version; cleared by the store's next answer.
     query_due_at: Cell<Option<ClockTime>>,
-    /// Notified when `query_due_at` changes.
+    /// Notified when a query is scheduled.
     query_wakeup: Event,
 }
 
@@ -219,7 +219,8 @@
         self.schedule_query(ClockSpan::ZERO);
     }
 
-    /// Records a version that another instance named.
+    /// Schedules a query if another instance named a version newer than the one in
+    /// force.
     pub fn observe_version(&self, version: u64) {
         if self.versions.borrow().is_behind(version) {
             self.schedule_query(NEWER_VERSION_GRACE);
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -36,7 +36,7 @@
 pub(crate) use self::question::read_loan_answer;
 pub(crate) use self::question::write_loan_answer;
 
-/// Time for which an instance that did not answer gets no further request: each one
+/// Time for which an instance that did not answer is avoided, since each request to it
 /// would wait for its whole timeout. Doubled with each consecutive failure.
 const UNREACHABLE_BACKOFF: ClockSpan = ClockSpan::from_millis(1_000);
 /// Largest number of doublings of [`UNREACHABLE_BACKOFF`], so that an instance is
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 struct PeerEntry {
     endpoint: PeerEndpoint,
-    /// No request is sent to it before this time.
+    /// It is avoided before this time: only configuration queries try it, last.
     backoff_until: ClockTime,
     /// Consecutive requests without an answer.
     failures: u32,
