--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -42,18 +42,18 @@
     }
 
     /// Reads a row, and records the response time or the fault.
-    pub(super) async fn read_row(&self, what: &str, key: RowKey) -> Option<RowState> {
+    pub(super) async fn read_row(&self, call: &str, key: RowKey) -> Option<RowState> {
         let started = self.clock.now();
         let answer = (self.store.read)(key).await;
         match answer {
             Ok(state) => {
-                self.record_answer(what, state.time, started);
+                self.record_answer(call, state.time, started);
                 self.newest_version
                     .set(self.newest_version.get().max(state.newest));
                 Some(state)
             }
             Err(fault) => {
-                self.record_fault(what, &fault);
+                self.record_fault(call, &fault);
                 None
             }
         }
@@ -63,7 +63,7 @@
     /// fault.
     pub(super) async fn write_row(
         &self,
-        what: &str,
+        call: &str,
         key: RowKey,
         version: u64,
         bytes: Vec<u8>,
@@ -74,19 +74,19 @@
             Ok(WriteAnswer::Done(version, time)) => {
                 self.newest_version
                     .set(self.newest_version.get().max(*version));
-                self.record_answer(what, *time, started);
+                self.record_answer(call, *time, started);
             }
-            Ok(WriteAnswer::Changed(state)) => self.record_answer(what, state.time, started),
-            Err(fault) => self.record_fault(what, fault),
+            Ok(WriteAnswer::Changed(state)) => self.record_answer(call, state.time, started),
+            Err(fault) => self.record_fault(call, fault),
         }
         answer
     }
 
-    fn record_answer(&self, what: &str, time: Option<ClockTime>, started: ClockTime) {
+    fn record_answer(&self, call: &str, time: Option<ClockTime>, started: ClockTime) {
         let now = self.clock.now();
-        let took = now.since(started).as_millis();
-        let mean_ms =
-            (self.mean_latency_ms.get() * (LATENCY_WINDOW - 1) + took).div_ceil(LATENCY_WINDOW);
+        let latency_ms = now.since(started).as_millis();
+        let mean_ms = (self.mean_latency_ms.get() * (LATENCY_WINDOW - 1) + latency_ms)
+            .div_ceil(LATENCY_WINDOW);
         self.mean_latency_ms.set(mean_ms);
         let mut ledger = self.ledger.borrow_mut();
         ledger.tell_answer(ClockSpan::from_millis(mean_ms));
@@ -96,22 +96,22 @@
         }
         if let Some(since) = self.failing_since.take() {
             let draft = EventDraft::new("store.regained")
-                .field("call", what)
+                .field("call", call)
                 .field("away_ms", now.since(since).as_millis());
             self.log.emit(draft);
         }
     }
 
-    pub(super) fn record_fault(&self, what: &str, fault: &StoreFault) {
+    pub(super) fn record_fault(&self, call: &str, fault: &StoreFault) {
         if *fault == StoreFault::Limited {
-            self.record_rate_limit(what);
+            self.record_rate_limit(call);
             return;
         }
         metrics::counter!("guavawell_forward_store_faults_total").increment(1);
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(self.clock.now()));
             let draft = EventDraft::new("store.lost")
-                .field("call", what)
+                .field("call", call)
                 .field("fault", fault);
             self.log.emit(draft);
         }
@@ -119,7 +119,7 @@
 
     /// Records a call that the store's rate limit rejected. The store does answer,
     /// so this is no outage; one event reports all such calls of an interval.
-    fn record_rate_limit(&self, what: &str) {
+    fn record_rate_limit(&self, call: &str) {
         metrics::counter!("guavawell_forward_store_limited_total").increment(1);
         let now = self.clock.now();
         let (count, logged_at) = self.rate_limited.get();
@@ -130,7 +130,7 @@
         }
         self.rate_limited.set((0, Some(now)));
         let draft = EventDraft::new("store.limited")
-            .field("call", what)
+            .field("call", call)
             .field("calls", count);
         self.log.emit(draft);
     }
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -70,12 +70,12 @@
     /// The path of the HTTP request.
     pub(crate) fn target(&self) -> String {
         match self {
-            Self::Loan(organisation, ask) => {
-                let scope = match ask.scope {
+            Self::Loan(organisation, loan) => {
+                let scope = match loan.scope {
                     LoanScope::Spare => SPARE_SCOPE,
                     LoanScope::Share => SHARE_SCOPE,
                 };
-                let (needed, wanted) = (ask.needed, ask.wanted);
+                let (needed, wanted) = (loan.needed, loan.wanted);
                 format!("/{LOAN_PATH}/{scope}/{organisation}/{needed}/{wanted}")
             }
             Self::Return(account) => format!(
@@ -112,12 +112,12 @@
                 let organisation = parts.next()?.parse().ok()?;
                 let needed = parts.next()?.parse().ok()?;
                 let wanted = parts.next()?.parse().ok()?;
-                let ask = LoanAsk {
+                let loan = LoanAsk {
                     needed,
                     wanted,
                     scope,
                 };
-                Self::Loan(organisation, ask)
+                Self::Loan(organisation, loan)
             }
             RETURN_PATH => {
                 let organisation = parts.next()?.parse().ok()?;
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -268,14 +268,14 @@
     fn apply_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
         let now = self.clock.now();
         let mut merged = 0;
-        for told in list.aged(self.store_clock.get().now(now)) {
-            let change = self.table.borrow_mut().learn(told, own, now);
+        for suspicion in list.aged(self.store_clock.get().now(now)) {
+            let change = self.table.borrow_mut().learn(suspicion, own, now);
             let Some(change) = change else {
                 continue;
             };
-            if change.mark != told.mark {
+            if change.mark != suspicion.mark {
                 self.clear(Some(change), &"answer");
-            } else if is_repeat_crash(change) {
+            } else if has_own_event(change) {
                 self.record_change(change, &format_args!("told by {from}"));
             } else {
                 merged += 1;
@@ -347,6 +347,6 @@
 /// Whether a change that another instance reported gets an event of its own. A first
 /// crash marks every request at a server and an answer clears nearly all of them, so
 /// first crashes share one event for the whole list.
-const fn is_repeat_crash(change: MarkChange) -> bool {
+const fn has_own_event(change: MarkChange) -> bool {
     change.mark.crashes > 1 || change.before.crashes > 1
 }
