--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -346,7 +346,7 @@
 
 /// Whether a change that another instance reported gets an event of its own. A first
 /// crash marks every request at a server and an answer clears nearly all of them, so
-/// first crashes share one event for the whole list.
+/// these changes share one event for each list.
 const fn has_own_event(change: MarkChange) -> bool {
     change.mark.crashes > 1 || change.before.crashes > 1
 }
