--- a/crates/guavawell-forward/src/admin.rs
+++ b/crates/guavawell-forward/src/admin.rs
@@ -90,7 +90,7 @@
 
 /// Clears the suspicion of a request. The caller must send the fleet's key.
 fn acquit(router: &ForwardRouter, head: &RequestHead) -> (u16, String) {
-    if !router.peers.knows_key(head.fields.get(KEY_FIELD)) {
+    if !router.peers.matches_key(head.fields.get(KEY_FIELD)) {
         return (
             403,
             format!("send the fleet's key in the field {KEY_FIELD}\n"),
--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -1,4 +1,4 @@
-//! Asks other instances for tokens, and accounts to them.
+//! Borrows tokens from other instances, and returns what was not spent.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,77 +16,78 @@
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
-use super::BudgetDesk;
+use super::BudgetManager;
 use crate::clock::timer_span;
 use crate::http::ChannelError;
 use crate::peer::PeerError;
-use crate::peer::PeerQuestion;
-use crate::peer::read_answer;
+use crate::peer::PeerRequest;
+use crate::peer::read_loan_answer;
 
-/// Longest wait for an instance's answer: some milliseconds on the way and, at
-/// a tenth of a core, some tens in its queue.
-const ASK_LIMIT: Duration = Duration::from_millis(150);
-/// Instances that a holder asks for one request.
+/// Timeout of a loan or return: a few milliseconds on the network and, at an
+/// instance with a tenth of a core, some tens of milliseconds in its queue.
+const LOAN_TIMEOUT: Duration = Duration::from_millis(150);
+/// Instances that a holder asks for a loan, for one request.
 const MAX_LENDERS: usize = 4;
-/// Of these, instances that unlock tokens early in a cut.
-const EARLY_LENDERS: usize = 2;
-/// Holders that an instance without tokens asks for one request: near a
-/// budget's end what it needs may lie in any zone.
+/// Largest number of these that are chosen because their spending limits unlock
+/// tokens early; see `GrantLedger::early_lenders`.
+const MAX_EARLY_LENDERS: usize = 2;
+/// Holders that another instance asks for one request: when a budget is nearly
+/// used up, the remaining tokens may be in any zone.
 const MAX_HOLDERS: usize = 8;
-/// Pause between looks at what is to be accounted for.
-const RETURN_TICK: Duration = Duration::from_millis(150);
+/// Interval between checks for loan returns that are due.
+const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How a question to the holders ended.
+/// How an attempt to borrow from the holders ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ShareEnd {
-    /// The request can be reserved now.
+pub(super) enum ShareOutcome {
+    /// A holder lent enough to reserve the request.
     Lent,
-    /// The holders that were reached had too little.
+    /// The holders that answered had too few tokens.
     Declined(ReserveAnswer),
     /// No holder answered.
-    Unreached,
+    Unreachable,
 }
 
-impl BudgetDesk {
-    /// Borrows what a holder's request of `tokens` lacks; whether it can be
-    /// reserved now. A question that brings no answer may have cost its lender
-    /// tokens, and is not sent again.
+impl BudgetManager {
+    /// Borrows the missing part of `tokens` for a request at a holder; true if it
+    /// can be reserved now. An instance that does not answer is not asked again: it
+    /// may already have lent the tokens.
     pub(super) async fn borrow(
         &self,
         organisation: &OrganisationId,
         tokens: u64,
         limit: ClockSpan,
     ) -> bool {
-        let end = self.clock.now() + limit;
-        let ask = self.loan_request(organisation, tokens);
-        for (instance, address) in self.choose_lenders(organisation, ask) {
-            let ask = self.loan_request(organisation, tokens);
+        let deadline = self.clock.now() + limit;
+        let loan = self.loan_request(organisation, tokens);
+        for (instance, address) in self.choose_lenders(organisation, loan) {
+            let loan = self.loan_request(organisation, tokens);
             let Some(answer) = self
-                .ask_peer(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, loan, deadline)
                 .await
             else {
                 continue;
             };
-            if answer.tokens >= ask.needed {
+            if answer.tokens >= loan.needed {
                 return true;
             }
         }
-        let mut book = self.book.borrow_mut();
-        book.note_declined(organisation, tokens, self.clock.now());
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.note_declined(organisation, tokens, self.clock.now());
         false
     }
 
-    /// Borrows the tokens of one request from the organisation's holders: the
-    /// one of the own zone, the next in rank where it does not answer, those of
-    /// other zones where it has too little.
-    pub(super) async fn borrow_share(
+    /// Borrows the tokens of one request from the organisation's holders, in the
+    /// order of their rank, the local zone first. If one does not answer, the next
+    /// in rank is asked; if one has too few tokens, the rest of its zone is skipped.
+    pub(super) async fn borrow_as_non_holder(
         &self,
         organisation: &OrganisationId,
         tokens: u64,
         limit: ClockSpan,
-    ) -> ShareEnd {
-        let end = self.clock.now() + limit;
-        let order = self.book.borrow().holder_order(organisation);
+    ) -> ShareOutcome {
+        let deadline = self.clock.now() + limit;
+        let order = self.ledger.borrow().holder_order(organisation);
         let mut holders: Vec<(InstanceId, SocketAddr)> = order
             .into_iter()
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
@@ -97,130 +98,133 @@
                 break;
             }
             let (instance, address) = holders.remove(0);
-            let ask = self.loan_request(organisation, tokens);
+            let loan = self.loan_request(organisation, tokens);
             let answer = self
-                .ask_peer(organisation, &instance, address, ask, end)
+                .request_loan(organisation, &instance, address, loan, deadline)
                 .await;
             match answer {
-                Some(answer) if answer.tokens >= ask.needed => return ShareEnd::Lent,
+                Some(answer) if answer.tokens >= loan.needed => return ShareOutcome::Lent,
                 Some(answer) => {
                     if answer.cause.is_used_up() {
-                        return ShareEnd::Declined(answer.cause);
+                        return ShareOutcome::Declined(answer.cause);
                     }
                     declined = Some(answer.cause);
-                    // The next in rank of this zone would ask the same row.
+                    // Another instance of this zone would depend on the same row.
                     let zone = self.peers.zone_of(&instance);
                     holders.retain(|(other, _)| self.peers.zone_of(other) != zone);
                 }
                 None => {}
             }
         }
-        declined.map_or(ShareEnd::Unreached, ShareEnd::Declined)
+        declined.map_or(ShareOutcome::Unreachable, ShareOutcome::Declined)
     }
 
     fn loan_request(&self, organisation: &OrganisationId, tokens: u64) -> LoanRequest {
-        let book = self.book.borrow();
-        book.loan_request(organisation, tokens, self.clock.now())
+        let ledger = self.ledger.borrow();
+        ledger.loan_request(organisation, tokens, self.clock.now())
     }
 
-    /// Asks one instance and takes in what it lends; `None` without an answer.
-    async fn ask_peer(
+    /// Asks one instance for a loan and records it in the ledger; `None` without an
+    /// answer.
+    async fn request_loan(
         &self,
         organisation: &OrganisationId,
         instance: &InstanceId,
         address: SocketAddr,
-        ask: LoanRequest,
-        end: ClockTime,
+        loan: LoanRequest,
+        deadline: ClockTime,
     ) -> Option<LoanAnswer> {
-        let rest = timer_span(end.since(self.clock.now()));
-        if rest.is_zero() || self.peers.key().is_none() {
+        let time_left = timer_span(deadline.since(self.clock.now()));
+        if time_left.is_zero() || self.peers.key().is_none() {
             return None;
         }
-        let question = PeerQuestion::Loan(organisation.clone(), ask);
-        let limit = ASK_LIMIT.min(rest);
-        let answered = self.peers.ask(address, &question, limit);
-        let result = answered.await.map(|answer| read_answer(&answer.head));
+        let request = PeerRequest::Loan(organisation.clone(), loan);
+        let limit = LOAN_TIMEOUT.min(time_left);
+        let response = self.peers.send_request(address, &request, limit);
+        let result = response
+            .await
+            .map(|response| read_loan_answer(&response.head));
         let (answer, nonce) = match result {
             Ok(Some(answer)) => answer,
             Ok(None) => {
-                self.note_unreached(instance, &"an answer that cannot be read");
+                self.record_unreachable(instance, &"malformed loan answer");
                 return None;
             }
             Err(error) => {
-                self.note_unreached(instance, &error);
+                self.record_unreachable(instance, &error);
                 return None;
             }
         };
-        self.peers.reached(instance);
+        self.peers.mark_reachable(instance);
         if answer.tokens > 0 {
             let lender = LenderId {
                 instance: instance.clone(),
                 nonce,
             };
             let now = self.clock.now();
-            let mut book = self.book.borrow_mut();
-            book.receive_loan(organisation, lender, answer.tokens, now);
-            drop(book);
-            self.note_loan("budget.borrowed", organisation, instance, ask, answer);
+            let mut ledger = self.ledger.borrow_mut();
+            ledger.receive_loan(organisation, lender, answer.tokens, now);
+            drop(ledger);
+            self.record_loan("budget.borrowed", organisation, instance, loan, answer);
         }
         Some(answer)
     }
 
-    fn note_unreached(&self, instance: &InstanceId, cause: &dyn std::fmt::Display) {
+    fn record_unreachable(&self, instance: &InstanceId, cause: &dyn std::fmt::Display) {
         let draft = EventDraft::new("budget.lender_unreached")
             .field("other", instance)
             .field("cause", cause);
         self.log.emit(draft);
-        self.peers.avoid(instance);
+        self.peers.mark_unreachable(instance);
     }
 
-    /// Instances that a holder asks: those that unlock tokens early, then
-    /// others, each drawn with a chance by what it holds: were all short ones to
-    /// ask the richest, it would soon have nothing.
+    /// Chooses the instances that a holder asks: first those whose spending limits
+    /// unlock tokens early, then others at random, weighted by the tokens they have
+    /// free. If all asked the one with the most, it would soon run out.
     ///
-    /// An instance that the store does not serve asks others too: one that it
-    /// serves can fetch what is needed.
+    /// While the store is out of reach, the rest are any other instances: one that
+    /// reaches the store can fetch tokens and lend them.
     fn choose_lenders(
         &self,
         organisation: &OrganisationId,
-        ask: LoanRequest,
+        loan: LoanRequest,
     ) -> Vec<(InstanceId, SocketAddr)> {
-        let held = self.book.borrow().lenders(organisation);
-        let mut able: Vec<(InstanceId, u64, SocketAddr)> = held
+        let held = self.ledger.borrow().lenders(organisation);
+        let mut candidates: Vec<(InstanceId, u64, SocketAddr)> = held
             .into_iter()
-            .filter(|(_, free)| *free >= ask.needed.div_ceil(2))
+            .filter(|(_, free)| *free >= loan.needed.div_ceil(2))
             .filter_map(|(instance, free)| {
                 let address = self.peers.address_of(&instance)?;
                 Some((instance, free, address))
             })
             .collect();
         let now = self.clock.now();
-        let early = self.book.borrow().early_lenders(organisation, now);
+        let early = self.ledger.borrow().early_lenders(organisation, now);
         let mut chosen: Vec<(InstanceId, SocketAddr)> = early
             .into_iter()
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
-            .take(EARLY_LENDERS)
+            .take(MAX_EARLY_LENDERS)
             .collect();
-        able.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
-        while chosen.len() < MAX_LENDERS && !able.is_empty() {
-            let sum: u64 = able.iter().map(|(_, free, _)| free).sum();
+        candidates.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
+        while chosen.len() < MAX_LENDERS && !candidates.is_empty() {
+            let sum: u64 = candidates.iter().map(|(_, free, _)| free).sum();
             let mut draw = fastrand::u64(..sum);
-            let place = able.iter().position(|(_, free, _)| {
+            let index = candidates.iter().position(|(_, free, _)| {
                 let hit = draw < *free;
                 draw = draw.saturating_sub(*free);
                 hit
             });
-            let (instance, _, address) = able.swap_remove(place.unwrap_or_default());
+            let (instance, _, address) = candidates.swap_remove(index.unwrap_or_default());
             chosen.push((instance, address));
         }
         if self.is_cut_off() {
-            self.add_fetchers(&mut chosen);
+            self.add_random_peers(&mut chosen);
         }
         chosen
     }
 
-    /// Fills up with any other instances.
-    fn add_fetchers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
+    /// Adds random instances up to [`MAX_LENDERS`].
+    fn add_random_peers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
         let mut others = self.peers.addresses();
         others.retain(|(instance, _)| chosen.iter().all(|(held, _)| held != instance));
         fastrand::shuffle(&mut others);
@@ -228,34 +232,37 @@
         chosen.append(&mut others);
     }
 
-    /// Accounts to lenders for as long as the process lives.
-    pub(super) async fn keep_accounts(self: Rc<Self>) {
+    /// Sends loan returns to lenders for as long as the process runs.
+    pub(super) async fn send_due_returns(self: Rc<Self>) {
         loop {
-            Timer::after(RETURN_TICK).await;
-            let due = self.book.borrow_mut().due_returns(self.clock.now());
-            for account in due {
-                if let Err(error) = self.send_account(&account).await {
-                    self.note_lost_account(&account, &error);
+            Timer::after(RETURN_CHECK_INTERVAL).await;
+            let due = self.ledger.borrow_mut().due_returns(self.clock.now());
+            for loan_return in due {
+                if let Err(error) = self.send_return(&loan_return).await {
+                    self.log_lost_return(&loan_return, &error);
                 }
             }
         }
     }
 
-    /// Sends an account once: told twice, it would give tokens back twice.
-    async fn send_account(&self, account: &LoanReturn) -> Result<(), PeerError> {
-        let address = self.peers.address_of(&account.lender.instance);
+    /// Sends a loan return, without a retry: a lender that received it twice would
+    /// count the returned tokens twice.
+    async fn send_return(&self, loan_return: &LoanReturn) -> Result<(), PeerError> {
+        let address = self.peers.address_of(&loan_return.lender.instance);
         let address = address.ok_or(ChannelError::Closed)?;
-        let question = PeerQuestion::Return(account.clone());
-        self.peers.ask(address, &question, ASK_LIMIT).await?;
+        let request = PeerRequest::Return(loan_return.clone());
+        self.peers
+            .send_request(address, &request, LOAN_TIMEOUT)
+            .await?;
         Ok(())
     }
 
-    fn note_lost_account(&self, account: &LoanReturn, error: &PeerError) {
+    fn log_lost_return(&self, loan_return: &LoanReturn, error: &PeerError) {
         let draft = EventDraft::new("budget.return_lost")
-            .organisation(&account.organisation)
-            .field("other", &account.lender.instance)
-            .field("unspent", account.unspent)
-            .field("spent", account.spent)
+            .organisation(&loan_return.organisation)
+            .field("other", &loan_return.lender.instance)
+            .field("unspent", loan_return.unspent)
+            .field("spent", loan_return.spent)
             .field("fault", error);
         self.log.emit(draft);
     }
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, and what their answers tell of it.
+//! Calls to the store, with its response time, outages and rate limit.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -10,129 +10,135 @@
 use serde::de::DeserializeOwned;
 
 use super::BUDGET_TABLE;
-use super::BudgetDesk;
-use super::LINE_TABLE;
+use super::BudgetManager;
+use super::LIMIT_TABLE;
 use super::ROW_KEY;
 use crate::store::RowKey;
 use crate::store::RowState;
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-/// Answers over which their usual time is averaged.
-const ANSWER_PARTS: u64 = 8;
+/// Number of responses over which the mean response time is averaged.
+const LATENCY_WINDOW: u64 = 8;
 
-/// Pause between log lines about calls that the store turned down for its rate.
-const LIMITED_PAUSE: ClockSpan = ClockSpan::from_millis(1_000);
+/// Shortest interval between events about calls rejected by the rate limit.
+const RATE_LIMIT_LOG_INTERVAL: ClockSpan = ClockSpan::from_millis(1_000);
 
-/// A row's value.
+/// A decoded row.
 pub(super) enum DecodedRow<T> {
     /// The row, if there is one.
     Readable(Option<T>),
-    /// A value that does not decode.
+    /// The value cannot be decoded.
     Unreadable,
 }
 
-impl BudgetDesk {
-    pub(super) fn line_key(&self) -> RowKey {
+impl BudgetManager {
+    pub(super) fn limit_key(&self) -> RowKey {
         RowKey {
-            table: LINE_TABLE,
+            table: LIMIT_TABLE,
             part: self.instance.as_str().into(),
             key: ROW_KEY.into(),
         }
     }
 
-    /// Reads a row and takes note of how the store does.
-    pub(super) async fn read_row(&self, what: &str, key: RowKey) -> Option<RowState> {
-        let began = self.clock.now();
+    /// Reads a row, and records the response time or the fault.
+    pub(super) async fn read_row(&self, call: &str, key: RowKey) -> Option<RowState> {
+        let started = self.clock.now();
         let answer = (self.store.read)(key).await;
         match answer {
             Ok(state) => {
-                self.note_answer(what, state.time, began);
-                self.newest.set(self.newest.get().max(state.newest));
+                self.record_answer(call, state.time, started);
+                self.newest_version
+                    .set(self.newest_version.get().max(state.newest));
                 Some(state)
             }
             Err(fault) => {
-                self.note_fault(what, &fault);
+                self.record_fault(call, &fault);
                 None
             }
         }
     }
 
-    /// Writes a row under a condition and takes note of how the store does.
+    /// Writes a row if it still has `version`, and records the response time or the
+    /// fault.
     pub(super) async fn write_row(
         &self,
-        what: &str,
+        call: &str,
         key: RowKey,
         version: u64,
         bytes: Vec<u8>,
     ) -> Result<WriteAnswer, StoreFault> {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let answer = (self.store.write)(key, version, bytes).await;
         match &answer {
             Ok(WriteAnswer::Done(version, time)) => {
-                self.newest.set(self.newest.get().max(*version));
-                self.note_answer(what, *time, began);
+                self.newest_version
+                    .set(self.newest_version.get().max(*version));
+                self.record_answer(call, *time, started);
             }
-            Ok(WriteAnswer::Changed(state)) => self.note_answer(what, state.time, began),
-            Err(fault) => self.note_fault(what, fault),
+            Ok(WriteAnswer::Changed(state)) => self.record_answer(call, state.time, started),
+            Err(fault) => self.record_fault(call, fault),
         }
         answer
     }
 
-    fn note_answer(&self, what: &str, time: Option<ClockTime>, began: ClockTime) {
+    fn record_answer(&self, call: &str, time: Option<ClockTime>, started: ClockTime) {
         let now = self.clock.now();
-        let took = now.since(began).as_millis();
-        let usual = (self.answer_ms.get() * (ANSWER_PARTS - 1) + took).div_ceil(ANSWER_PARTS);
-        self.answer_ms.set(usual);
-        let mut book = self.book.borrow_mut();
-        book.set_store_latency(ClockSpan::from_millis(usual));
-        drop(book);
+        let latency_ms = now.since(started).as_millis();
+        let mean_ms = (self.mean_latency_ms.get() * (LATENCY_WINDOW - 1) + latency_ms)
+            .div_ceil(LATENCY_WINDOW);
+        self.mean_latency_ms.set(mean_ms);
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.set_store_latency(ClockSpan::from_millis(mean_ms));
+        drop(ledger);
         if let Some(time) = time {
-            self.book.borrow_mut().record_store_time(time, began, now);
+            self.ledger
+                .borrow_mut()
+                .record_store_time(time, started, now);
         }
         if let Some(since) = self.failing_since.take() {
             let draft = EventDraft::new("store.regained")
-                .field("call", what)
+                .field("call", call)
                 .field("away_ms", now.since(since).as_millis());
             self.log.emit(draft);
         }
     }
 
-    pub(super) fn note_fault(&self, what: &str, fault: &StoreFault) {
+    pub(super) fn record_fault(&self, call: &str, fault: &StoreFault) {
         if *fault == StoreFault::Limited {
-            self.note_limited(what);
+            self.record_rate_limit(call);
             return;
         }
         metrics::counter!("guavawell_forward_store_faults_total").increment(1);
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(self.clock.now()));
             let draft = EventDraft::new("store.lost")
-                .field("call", what)
+                .field("call", call)
                 .field("fault", fault);
             self.log.emit(draft);
         }
     }
 
-    /// The store answers, and turned a call down for its rate. Logged once in a
-    /// while with the number of calls since.
-    fn note_limited(&self, what: &str) {
+    /// Records a call that the store's rate limit rejected. The store does answer,
+    /// so this is no outage; one event reports all such calls of an interval.
+    fn record_rate_limit(&self, call: &str) {
         metrics::counter!("guavawell_forward_store_limited_total").increment(1);
         let now = self.clock.now();
-        let (count, told) = self.limited.get();
+        let (count, logged_at) = self.rate_limited.get();
         let count = count + 1;
-        if told.is_some_and(|told| now.since(told) < LIMITED_PAUSE) {
-            self.limited.set((count, told));
+        if logged_at.is_some_and(|logged_at| now.since(logged_at) < RATE_LIMIT_LOG_INTERVAL) {
+            self.rate_limited.set((count, logged_at));
             return;
         }
-        self.limited.set((0, Some(now)));
+        self.rate_limited.set((0, Some(now)));
         let draft = EventDraft::new("store.limited")
-            .field("call", what)
+            .field("call", call)
             .field("calls", count);
         self.log.emit(draft);
     }
 
-    /// The row in a state. A value that does not decode is left alone: nothing is spent by it and nothing written
-    /// over it.
+    /// Decodes a row. A value that cannot be decoded grants nothing and is never
+    /// overwritten.
     pub(super) fn decode<T: DeserializeOwned>(
         &self,
         key: &RowKey,
@@ -165,6 +171,6 @@
 
 pub(super) fn encode(row: &impl Serialize) -> Option<Vec<u8>> {
     encode_row(row)
-        .inspect_err(|error| log::error!("a row cannot be encoded: {error}"))
+        .inspect_err(|error| log::error!("cannot encode a row: {error}"))
         .ok()
 }
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -1,4 +1,4 @@
-//! Answers other instances' questions for tokens.
+//! Serves requests of other instances: loans, returns, suspects, configuration.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 use smol::Async;
 use smol::LocalExecutor;
 
-use super::BudgetDesk;
-use super::reserve::WaitingRequest;
+use super::BudgetManager;
+use super::reserve::DemandGuard;
 use super::wait_until;
 use crate::accept::accept_all;
 use crate::clock::timer_span;
@@ -22,31 +22,31 @@
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::within;
-use crate::peer::PeerQuestion;
-use crate::peer::ReceivedQuestion;
-use crate::peer::VERSION_FIELD;
-use crate::peer::write_answer;
+use crate::peer::CONFIG_VERSION_FIELD;
+use crate::peer::PeerRequest;
+use crate::peer::ReceivedRequest;
+use crate::peer::write_loan_answer;
 
-/// How long a lender waits for the store: two of its answers and a write of the
-/// same row that is on its way. Less than an asker waits by what the answer
-/// takes, or its tokens would be lost.
-const LEND_PATIENCE: ClockSpan = ClockSpan::from_millis(100);
-/// Longest time that a connection stays open without a question.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+/// How long a lender waits for the store: a pending write of the same row and two
+/// more responses. Shorter than the borrower's timeout by the time that the answer
+/// takes: tokens lent in an answer that arrives too late stay spent.
+const MAX_LEND_WAIT: ClockSpan = ClockSpan::from_millis(100);
+/// Time after which a connection without a request is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-impl BudgetDesk {
-    /// Answers other instances for as long as the process lives.
-    pub async fn answer_peers(
+impl BudgetManager {
+    /// Serves other instances for as long as the process runs.
+    pub async fn serve_peers(
         self: Rc<Self>,
         listener: Async<TcpListener>,
         executor: Rc<LocalExecutor<'static>>,
     ) {
         let serve = |channel: HttpChannel| {
-            let desk = Rc::clone(&self);
+            let manager = Rc::clone(&self);
             executor
                 .spawn(async move {
-                    if let Err(error) = desk.answer_peer(channel).await {
-                        log::debug!("another instance's questions ended: {error}");
+                    if let Err(error) = manager.serve_peer(channel).await {
+                        log::debug!("connection from another instance ended: {error}");
                     }
                 })
                 .detach();
@@ -54,40 +54,41 @@
         accept_all("instance", &listener, serve).await;
     }
 
-    async fn answer_peer(self: &Rc<Self>, mut channel: HttpChannel) -> Result<(), ChannelError> {
+    async fn serve_peer(self: &Rc<Self>, mut channel: HttpChannel) -> Result<(), ChannelError> {
         loop {
-            let asked = within(IDLE_LIMIT, ReceivedQuestion::read(&mut channel)).await?;
+            let received = within(IDLE_TIMEOUT, ReceivedRequest::read(&mut channel)).await?;
             let Some(key) = self.peers.key() else {
-                // A process that has just started may be asked before it has
-                // read the key.
-                return self.refuse(&channel, 503, "Service Unavailable").await;
+                // A process that has just started may be called before it has read
+                // the key.
+                return self.reject(&channel, 503, "Service Unavailable").await;
             };
-            let Some(nonce) = asked.proved_nonce(key) else {
+            let Some(nonce) = received.authenticated_nonce(key) else {
                 metrics::counter!("guavawell_forward_strangers_total").increment(1);
-                return self.refuse(&channel, 403, "Forbidden").await;
+                return self.reject(&channel, 403, "Forbidden").await;
             };
-            let head = &asked.head;
-            self.peers.hear_version(head.fields.get(VERSION_FIELD));
-            let question = PeerQuestion::parse(head.path(), &asked.body, &self.instance);
-            let status = question
+            let head = &received.head;
+            self.peers
+                .receive_version(head.fields.get(CONFIG_VERSION_FIELD));
+            let request = PeerRequest::parse(head.path(), &received.body, &self.instance);
+            let status = request
                 .as_ref()
                 .map_or((400, "Bad Request"), |_| (200, "OK"));
             let mut writer = HeadWriter::response(status.0, status.1);
             self.peers.write_version(&mut writer);
             let mut body = Vec::new();
-            match question {
-                Some(PeerQuestion::Loan(organisation, ask)) => {
+            match request {
+                Some(PeerRequest::Loan(organisation, loan)) => {
                     if !channel.is_quiet() {
-                        return self.decline_left(&organisation, &head.host, ask);
+                        return self.decline_departed(&organisation, &head.host, loan);
                     }
-                    let answer = self.lend(&organisation, ask).await;
-                    self.note_loan("budget.lent", &organisation, &head.host, ask, answer);
-                    write_answer(&mut writer, answer, self.book.borrow().lender_id().nonce);
+                    let answer = self.lend(&organisation, loan).await;
+                    self.record_loan("budget.lent", &organisation, &head.host, loan, answer);
+                    write_loan_answer(&mut writer, answer, self.ledger.borrow().lender_id().nonce);
                 }
-                Some(PeerQuestion::Return(account)) => self.apply_return(&account),
-                Some(PeerQuestion::Suspects(list)) => self.poison.learn(&list, &"another"),
-                Some(PeerQuestion::Config(known)) => {
-                    body = self.peers.tell_config(known, &mut writer);
+                Some(PeerRequest::Return(loan_return)) => self.receive_return(&loan_return),
+                Some(PeerRequest::Suspects(list)) => self.poison.learn(&list, &"another"),
+                Some(PeerRequest::Config(known)) => {
+                    body = self.peers.answer_config(known, &mut writer);
                 }
                 None => {}
             }
@@ -96,26 +97,27 @@
         }
     }
 
-    /// Lends nothing to an instance that has left: it waits for an answer less
-    /// long than this process was paused, and what it is lent stays spent.
-    fn decline_left(
+    /// Ends the connection without a loan, because the borrower no longer waits for
+    /// the answer: it timed out, for example while this process was suspended. Tokens
+    /// lent to it would stay spent.
+    fn decline_departed(
         &self,
         organisation: &OrganisationId,
         other: &dyn std::fmt::Display,
-        ask: LoanRequest,
+        loan: LoanRequest,
     ) -> Result<(), ChannelError> {
         metrics::counter!("guavawell_forward_loans_total", "kind" => "budget.asker_left")
             .increment(1);
         let draft = EventDraft::new("budget.asker_left")
             .organisation(organisation)
             .field("other", other)
-            .field("needed", ask.needed);
+            .field("needed", loan.needed);
         self.log.emit(draft);
         Err(ChannelError::Closed)
     }
 
-    /// Turns a question away and ends the connection.
-    async fn refuse(
+    /// Rejects a request; the caller then drops the connection.
+    async fn reject(
         &self,
         channel: &HttpChannel,
         status: u16,
@@ -128,69 +130,74 @@
         Ok(())
     }
 
-    fn apply_return(&self, account: &LoanReturn) {
-        if self.book.borrow_mut().apply_return(account) {
-            if account.unspent > 0 {
+    fn receive_return(&self, loan_return: &LoanReturn) {
+        if self.ledger.borrow_mut().apply_return(loan_return) {
+            if loan_return.unspent > 0 {
                 self.changed.notify(usize::MAX);
             }
         } else {
             let draft = EventDraft::new("budget.return_unknown")
-                .organisation(&account.organisation)
-                .field("unspent", account.unspent)
-                .field("spent", account.spent);
+                .organisation(&loan_return.organisation)
+                .field("unspent", loan_return.unspent)
+                .field("spent", loan_return.spent);
             self.log.emit(draft);
         }
     }
 
-    /// Lends, after a wait for the store where that helps; a part only where
-    /// nothing more is to be had.
-    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, ask: LoanRequest) -> LoanAnswer {
+    /// Lends tokens. If there are too few, waits for the store where that helps, and
+    /// lends a part of what is needed only if the wait brings no more.
+    async fn lend(self: &Rc<Self>, organisation: &OrganisationId, loan: LoanRequest) -> LoanAnswer {
         let lend_in_full = || {
             let now = self.clock.now();
-            self.book.borrow_mut().lend_in_full(organisation, ask, now)
+            self.ledger
+                .borrow_mut()
+                .lend_in_full(organisation, loan, now)
         };
         let answer = lend_in_full();
         if answer.tokens > 0 {
             return answer;
         }
         let now = self.clock.now();
-        let later = self.book.borrow().tokens_to_fetch(organisation, ask, now);
-        if let (Some(missing), false) = (later, self.is_cut_off()) {
-            let _waiting = WaitingRequest::new(self, organisation, missing);
-            self.ring();
-            let end = now + LEND_PATIENCE;
+        let missing_tokens = self
+            .ledger
+            .borrow()
+            .tokens_to_fetch(organisation, loan, now);
+        if let (Some(missing), false) = (missing_tokens, self.is_cut_off()) {
+            let _waiting = DemandGuard::new(self, organisation, missing);
+            self.wake_writers();
+            let deadline = now + MAX_LEND_WAIT;
             loop {
                 let changed = self.changed.listen();
                 let answer = lend_in_full();
                 if answer.tokens > 0 {
                     return answer;
                 }
-                let rest = self.clock.left(end);
-                if rest == ClockSpan::default() {
+                let time_left = self.clock.left(deadline);
+                if time_left == ClockSpan::default() {
                     break;
                 }
-                wait_until(changed, timer_span(rest)).await;
+                wait_until(changed, timer_span(time_left)).await;
             }
         }
         let now = self.clock.now();
-        self.book.borrow_mut().lend(organisation, ask, now)
+        self.ledger.borrow_mut().lend(organisation, loan, now)
     }
 
-    pub(super) fn note_loan(
+    pub(super) fn record_loan(
         &self,
         kind: &str,
         organisation: &OrganisationId,
         other: impl std::fmt::Display,
-        ask: LoanRequest,
+        loan: LoanRequest,
         answer: LoanAnswer,
     ) {
         metrics::counter!("guavawell_forward_loans_total", "kind" => kind.to_owned()).increment(1);
-        let facts = self.book.borrow().facts(organisation, self.clock.now());
+        let facts = self.ledger.borrow().facts(organisation, self.clock.now());
         let draft = EventDraft::new(kind)
             .organisation(organisation)
             .field("other", other)
-            .field("needed", ask.needed)
-            .field("wanted", ask.wanted)
+            .field("needed", loan.needed)
+            .field("wanted", loan.wanted)
             .field("lent", answer.tokens)
             .field("cause", answer.cause.as_str())
             .field("grant", facts.grant)
--- a/crates/guavawell-forward/src/budget/lines.rs
+++ b/crates/guavawell-forward/src/budget/lines.rs
@@ -1,136 +1,143 @@
-//! The instance's own row: it bounds what this boot can have spent.
+//! The instance's row of spending limits, which bounds what this boot can have
+//! spent.
+//!
+//! For each organisation the limit is a function of the time since the row was
+//! written, so that the instance can go on spending while the store is out of reach.
 
 use guavawell_core::grant::LimitRow;
 use guavawell_fleet::event::EventDraft;
 use smol::Timer;
 
-use super::BudgetDesk;
-use super::LINE_TICK;
+use super::BudgetManager;
+use super::LIMIT_CHECK_INTERVAL;
 use super::calls::DecodedRow;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use super::wait_until;
 use crate::store::RowState;
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-impl BudgetDesk {
-    /// Begins this boot in the instance's row, however long it takes.
-    pub(super) async fn open_lines(&self) {
+impl BudgetManager {
+    /// Begins this boot in the instance's row; retries until it succeeds.
+    pub(super) async fn start_boot(&self) {
         loop {
-            if self.begin_boot().await {
-                let boot = self.book.borrow().boot();
+            if self.try_start_boot().await {
+                let boot = self.ledger.borrow().boot();
                 let draft = EventDraft::new("budget.boot").field("boot", boot);
                 self.log.emit(draft);
                 return;
             }
-            Timer::after(fault_pause()).await;
+            Timer::after(retry_delay()).await;
         }
     }
 
-    /// One try to begin this boot; true once the store has confirmed it.
-    pub(super) async fn begin_boot(&self) -> bool {
-        if !self.read_lines().await {
+    /// Tries to begin this boot; true once the store has confirmed it.
+    pub(super) async fn try_start_boot(&self) -> bool {
+        if !self.read_limits().await {
             return false;
         }
-        if self.book.borrow().boot() > 0 {
+        if self.ledger.borrow().boot() > 0 {
             return true;
         }
-        let Some(row) = self.book.borrow().first_limits(self.clock.now()) else {
+        let Some(row) = self.ledger.borrow().first_limits(self.clock.now()) else {
             return false;
         };
-        self.note_closed();
-        self.put_lines(row).await && self.book.borrow().boot() > 0
+        self.log_previous_boot();
+        self.store_limits(row).await && self.ledger.borrow().boot() > 0
     }
 
-    /// Logs what the boot before may have spent at most beyond its last word.
-    fn note_closed(&self) {
-        let book = self.book.borrow();
-        let Some((before, ended)) = book.previous_limits() else {
+    /// Logs the most that the previous boot can have spent, by its last row.
+    fn log_previous_boot(&self) {
+        let ledger = self.ledger.borrow();
+        let Some((previous, ended)) = ledger.previous_limits() else {
             return;
         };
-        let age = ended.since(before.at);
-        for line in &before.limits {
+        let age = ended.since(previous.at);
+        for limit in &previous.limits {
             let draft = EventDraft::new("budget.closed")
-                .organisation(&line.organisation)
-                .field("boot", before.boot)
-                .field("spent", line.spent)
-                .field("burst", line.burst)
-                .field("most", line.allowance(age))
+                .organisation(&limit.organisation)
+                .field("boot", previous.boot)
+                .field("spent", limit.spent)
+                .field("burst", limit.burst)
+                .field("most", limit.allowance(age))
                 .field("age_ms", age.as_millis());
             self.log.emit(draft);
         }
     }
 
-    /// Keeps the lines up to date.
-    pub(super) async fn write_lines(&self) {
+    /// Keeps the row of spending limits up to date.
+    pub(super) async fn maintain_limits(&self) {
         loop {
-            let bell = self.line_bell.listen();
-            let done = self.write_lines_once().await;
+            let wakeup = self.limit_wakeup.listen();
+            let done = self.write_due_limits().await;
             if done {
-                wait_until(bell, LINE_TICK).await;
+                wait_until(wakeup, LIMIT_CHECK_INTERVAL).await;
             } else {
-                Timer::after(fault_pause()).await;
+                Timer::after(retry_delay()).await;
             }
         }
     }
 
-    /// Writes the lines if they want writing; false if the store failed.
-    pub(super) async fn write_lines_once(&self) -> bool {
-        if self.book.borrow().must_read_limits() && !self.read_lines().await {
+    /// Writes the row if that is due; false if a call to the store failed.
+    pub(super) async fn write_due_limits(&self) -> bool {
+        if self.ledger.borrow().must_read_limits() && !self.read_limits().await {
             return false;
         }
-        let Some(row) = self.book.borrow().next_limits(self.clock.now()) else {
+        let Some(row) = self.ledger.borrow().next_limits(self.clock.now()) else {
             return true;
         };
-        self.put_lines(row).await
+        self.store_limits(row).await
     }
 
-    pub(super) async fn read_lines(&self) -> bool {
-        let Some(state) = self.read_row("lines", self.line_key()).await else {
+    pub(super) async fn read_limits(&self) -> bool {
+        let Some(state) = self.read_row("lines", self.limit_key()).await else {
             return false;
         };
-        self.take_lines(&state)
+        self.apply_limits(&state)
     }
 
-    pub(super) fn take_lines(&self, state: &RowState) -> bool {
-        let DecodedRow::Readable(row) = self.decode::<LimitRow>(&self.line_key(), state) else {
+    pub(super) fn apply_limits(&self, state: &RowState) -> bool {
+        let DecodedRow::Readable(row) = self.decode::<LimitRow>(&self.limit_key(), state) else {
             return false;
         };
-        let own = self.book.borrow_mut().limits_read(state.version, row);
+        let is_own = self.ledger.borrow_mut().limits_read(state.version, row);
         self.changed.notify(usize::MAX);
-        if !own {
-            log::error!("another boot of {} has taken its row over", self.instance);
+        if !is_own {
+            log::error!(
+                "another process with instance id {} has written this instance's row",
+                self.instance
+            );
         }
-        own
+        is_own
     }
 
-    pub(super) async fn put_lines(&self, row: LimitRow) -> bool {
+    pub(super) async fn store_limits(&self, row: LimitRow) -> bool {
         let Some(bytes) = encode(&row) else {
             return false;
         };
-        let version = self.book.borrow().limits_version();
-        self.book.borrow_mut().limits_sent(row, self.clock.now());
+        let version = self.ledger.borrow().limits_version();
+        self.ledger.borrow_mut().limits_sent(row, self.clock.now());
         let answer = self
-            .write_row("lines", self.line_key(), version, bytes)
+            .write_row("lines", self.limit_key(), version, bytes)
             .await;
         metrics::counter!("guavawell_forward_line_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().limits_written(version);
+                self.ledger.borrow_mut().limits_written(version);
                 self.changed.notify(usize::MAX);
                 true
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().limits_rejected();
-                self.take_lines(&state)
+                self.ledger.borrow_mut().limits_rejected();
+                self.apply_limits(&state)
             }
             Err(StoreFault::NotDone(_) | StoreFault::Limited | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().limits_rejected();
+                self.ledger.borrow_mut().limits_rejected();
                 false
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().limits_unanswered();
+                self.ledger.borrow_mut().limits_unanswered();
                 false
             }
         }
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -1,5 +1,12 @@
-//! Carries the book of budgets out: reservations that wait for the store, and
-//! the writes that the book asks for.
+//! Token budgets of this instance.
+//!
+//! `guavawell_core::grant::GrantLedger` is the ledger: it decides without I/O what may
+//! be reserved and which rows must be written. This module makes the calls to the
+//! store and to other instances, and lets requests wait for their results.
+//!
+//! In a large fleet only a few instances, the holders, have tokens of an
+//! organisation; the others borrow tokens from them for each request. A boot is one
+//! run of an instance's process.
 
 mod borrow;
 mod calls;
@@ -31,80 +38,80 @@
 
 use crate::clock::SteadyClock;
 use crate::clock::wait_until;
-use crate::peer::PeerDesk;
-use crate::poison::PoisonDesk;
+use crate::peer::PeerRegistry;
+use crate::poison::PoisonTracker;
 use crate::store::RowStore;
 
 pub use reserve::BudgetRefusal;
 pub use reserve::TokenReservation;
 
-/// Table of the rows that bound what instances can have spent.
-const LINE_TABLE: &str = "guavawell_lines";
-/// Table of the organisations' budgets.
+/// Table of the spending limits: one row an instance.
+const LIMIT_TABLE: &str = "guavawell_lines";
+/// Table of the organisations' budgets: one row an organisation.
 const BUDGET_TABLE: &str = "guavawell_budgets";
-/// Table of the instances, in its unnamed part.
+/// Table of the running instances; all its rows are in [`PEER_PART`].
 const PEER_TABLE: &str = "guavawell_instances";
-/// The part of [`PEER_TABLE`].
+/// Part of [`PEER_TABLE`] that holds the rows.
 const PEER_PART: &str = "";
-/// Key of the one row in each part of the other tables.
+/// Key of the single row in each part of the other tables.
 const ROW_KEY: &str = "row";
-/// Pause between looks at whether a row wants writing.
-const LINE_TICK: Duration = Duration::from_millis(100);
-/// Pause between looks at whether a budget's row wants writing or reading.
-const BUDGET_TICK: Duration = Duration::from_millis(500);
-/// Pause between questions for other instances' writes.
-const FOLLOW_PAUSE: ClockSpan = ClockSpan::from_millis(500);
-/// The same while an instance lacks tokens that another one may give back, so
-/// that they move while the request waits.
-const CONTENDED_PAUSE: ClockSpan = ClockSpan::from_millis(120);
-/// Further pause for each writer of a row, so that reading what all others
-/// write takes a bounded part of the processor.
-const FOLLOW_EACH: ClockSpan = ClockSpan::from_millis(15);
-/// See [`FOLLOW_EACH`].
-const CONTENDED_EACH: ClockSpan = ClockSpan::from_millis(15);
-/// Time from the start to the second look at the fleet's instances.
-const FIRST_LOOK: Duration = Duration::from_millis(400);
-/// Pause between looks at the fleet's instances.
-const LOOK_PAUSE: Duration = Duration::from_secs(5);
-/// Spread of the first writes of a row for each of its writers: all of them
-/// start at one moment and would turn each other's writes down.
-const START_SPREAD_EACH: Duration = Duration::from_millis(8);
-/// Pause after a failed call to the store.
-const FAULT_PAUSE: Duration = Duration::from_millis(150);
+/// Interval between checks whether the row of spending limits must be written.
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between checks whether a budget's row must be written or read.
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between polls for other instances' writes to budget rows.
+const POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(500);
+/// Poll interval while an instance lacks tokens that another one may give back:
+/// short, so that the tokens arrive while the request still waits.
+const CONTENDED_POLL_INTERVAL: ClockSpan = ClockSpan::from_millis(120);
+/// Added to [`POLL_INTERVAL`] for each writer of a row, so that reading all
+/// others' writes takes a bounded share of CPU time.
+const POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
+/// Added to [`CONTENDED_POLL_INTERVAL`] for each writer of a row.
+const CONTENDED_POLL_INTERVAL_PER_WRITER: ClockSpan = ClockSpan::from_millis(15);
+/// Delay between the first and second read of the fleet's instances.
+const FIRST_PEER_REFRESH_DELAY: Duration = Duration::from_millis(400);
+/// Interval between later reads of the fleet's instances.
+const PEER_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+/// Largest random delay of the first write of a row, for each of its writers:
+/// instances that start together would make each other's conditional writes fail.
+const START_JITTER_PER_WRITER: Duration = Duration::from_millis(8);
+/// Shortest delay before a failed call to the store is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The budgets of this process.
+/// The budgets of this process, and the tasks that keep their rows up to date.
 #[derive(Debug)]
-pub struct BudgetDesk {
+pub struct BudgetManager {
     clock: SteadyClock,
     log: EventLog,
     store: RowStore,
     instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     zone: ZoneId,
     /// The other instances.
-    peers: Rc<PeerDesk>,
-    /// Requests that crash servers, which instances tell each other of.
-    poison: Rc<PoisonDesk>,
-    book: RefCell<GrantLedger>,
-    /// Something in the book changed for the better.
+    peers: Rc<PeerRegistry>,
+    /// Requests suspected of crashing servers; instances share them directly.
+    poison: Rc<PoisonTracker>,
+    ledger: RefCell<GrantLedger>,
+    /// Notified when a change in the ledger may let a waiting reservation succeed.
     changed: Event,
-    /// The lines want writing.
-    line_bell: Event,
-    /// Budgets' rows want writing.
-    budget_bell: Event,
-    /// Usual time of the store's answers, in milliseconds.
-    answer_ms: Cell<u64>,
-    /// The newest version that the store has told.
-    newest: Cell<u64>,
-    /// When the store began to fail, if it does.
+    /// Notified when the spending limits may have to be written.
+    limit_wakeup: Event,
+    /// Notified when budget rows may have to be written, or a budget is new.
+    budget_wakeup: Event,
+    /// Moving average of the store's response time, in milliseconds.
+    mean_latency_ms: Cell<u64>,
+    /// The newest row version in any of the store's answers.
+    newest_version: Cell<u64>,
+    /// Time of the first failed call since the last one that succeeded.
     failing_since: Cell<Option<ClockTime>>,
-    /// Calls that the store turned down for its rate since the last log line
-    /// about them, and when that was.
-    limited: Cell<(u64, Option<ClockTime>)>,
+    /// Number of calls that the store's rate limit rejected since the last event
+    /// about it, and the time of that event.
+    rate_limited: Cell<(u64, Option<ClockTime>)>,
 }
 
-impl BudgetDesk {
-    /// A desk that knows nothing yet.
+impl BudgetManager {
+    /// Creates a manager with an empty ledger.
     #[must_use]
     pub fn new(
         member: FleetMember,
@@ -112,15 +119,15 @@
         clock: SteadyClock,
         log: EventLog,
         store: RowStore,
-        poison: Rc<PoisonDesk>,
-        peers: Rc<PeerDesk>,
+        poison: Rc<PoisonTracker>,
+        peers: Rc<PeerRegistry>,
     ) -> Self {
         let nonce = fastrand::u64(1..);
         Self {
             clock,
             log,
             store,
-            book: RefCell::new(GrantLedger::new(
+            ledger: RefCell::new(GrantLedger::new(
                 member.instance.clone(),
                 nonce,
                 SteadyClock::ORIGIN,
@@ -131,77 +138,82 @@
             peers,
             poison,
             changed: Event::new(),
-            line_bell: Event::new(),
-            budget_bell: Event::new(),
-            answer_ms: Cell::new(20),
-            newest: Cell::new(0),
+            limit_wakeup: Event::new(),
+            budget_wakeup: Event::new(),
+            mean_latency_ms: Cell::new(20),
+            newest_version: Cell::new(0),
             failing_since: Cell::new(None),
-            limited: Cell::default(),
+            rate_limited: Cell::default(),
         }
     }
 
     /// The other instances.
     #[must_use]
-    pub const fn peers(&self) -> &Rc<PeerDesk> {
+    pub const fn peers(&self) -> &Rc<PeerRegistry> {
         &self.peers
     }
 
-    /// The configuration says what an organisation paid.
+    /// Sets the tokens that an organisation paid for, by a version of the
+    /// configuration.
     pub fn set_paid(&self, organisation: &OrganisationId, paid: u64, version: u64) {
-        let mut book = self.book.borrow_mut();
-        book.set_paid(organisation, paid, version);
-        self.budget_bell.notify(usize::MAX);
+        let mut ledger = self.ledger.borrow_mut();
+        ledger.set_paid(organisation, paid, version);
+        self.budget_wakeup.notify(usize::MAX);
     }
 
-    /// Whether every budget was read once.
+    /// Whether this boot has begun and every budget that it holds was read.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.book.borrow().is_open()
+        self.ledger.borrow().is_open()
     }
 
-    /// Instances of the fleet that are reckoned with.
+    /// The number of instances in the fleet, as the ledger assumes it.
     #[must_use]
     pub fn instances(&self) -> usize {
-        self.book.borrow().instances()
+        self.ledger.borrow().instances()
     }
 
-    /// Starts the tasks that write rows and talk to other instances.
+    /// Starts the tasks that read and write rows and call other instances.
     pub fn start(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
-        let desk = Rc::clone(self);
-        let spawner = Rc::clone(executor);
-        let begin = async move {
-            // Who holds what is known first, so that a fleet that starts as a
-            // whole does not write a hundred entries into each row.
-            desk.learn_key().await;
-            desk.announce().await;
-            while !desk.read_peers().await {
-                Timer::after(fault_pause()).await;
+        let manager = Rc::clone(self);
+        let task_executor = Rc::clone(executor);
+        let startup = async move {
+            // The instances, and so the holders of each budget, are known before
+            // the first budget is written. Otherwise each instance of a fleet that
+            // starts as a whole would add an entry to every budget's row.
+            manager.load_key().await;
+            manager.register().await;
+            while !manager.read_peers().await {
+                Timer::after(retry_delay()).await;
             }
-            desk.open_lines().await;
-            spawner.spawn(Rc::clone(&desk).keep_peers()).detach();
-            spawner.spawn(Rc::clone(&desk).keep_accounts()).detach();
-            let teller = Rc::clone(&desk);
-            let spawner_of_calls = Rc::clone(&spawner);
-            spawner
-                .spawn(async move { teller.tell_suspects(&spawner_of_calls).await })
+            manager.start_boot().await;
+            task_executor
+                .spawn(Rc::clone(&manager).maintain_peers())
                 .detach();
-            let budgets = Rc::clone(&desk);
-            let spawner_of_rows = Rc::clone(&spawner);
-            spawner
-                .spawn(async move { budgets.watch_budgets(&spawner_of_rows).await })
+            task_executor
+                .spawn(Rc::clone(&manager).send_due_returns())
                 .detach();
-            let follower = Rc::clone(&desk);
-            spawner
-                .spawn(async move { follower.follow_budgets().await })
+            let suspect_manager = Rc::clone(&manager);
+            let suspect_executor = Rc::clone(&task_executor);
+            task_executor
+                .spawn(async move { suspect_manager.broadcast_suspects(&suspect_executor).await })
                 .detach();
-            desk.write_lines().await;
+            let budget_manager = Rc::clone(&manager);
+            let budget_executor = Rc::clone(&task_executor);
+            task_executor
+                .spawn(async move { budget_manager.spawn_budget_tasks(&budget_executor).await })
+                .detach();
+            let change_manager = Rc::clone(&manager);
+            task_executor
+                .spawn(async move { change_manager.poll_changes().await })
+                .detach();
+            manager.maintain_limits().await;
         };
-        executor.spawn(begin).detach();
+        executor.spawn(startup).detach();
     }
 }
 
-/// A pause after a failure, spread so that instances do not come back at one
-/// moment.
-fn fault_pause() -> Duration {
-    FAULT_PAUSE + FAULT_PAUSE.mul_f64(fastrand::f64())
+/// The delay before a retry, with jitter so that instances do not retry together.
+fn retry_delay() -> Duration {
+    RETRY_DELAY + RETRY_DELAY.mul_f64(fastrand::f64())
 }
--- a/crates/guavawell-forward/src/budget/peers.rs
+++ b/crates/guavawell-forward/src/budget/peers.rs
@@ -1,5 +1,5 @@
-//! The other instances of the fleet: how many there are, in which zones, and
-//! where they answer questions for tokens. Each writes its row once in a boot.
+//! The table of the fleet's instances, with their zones and peer addresses. Each
+//! instance writes its own row at start and when it leaves.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 use serde::Serialize;
 use smol::Timer;
 
-use super::BudgetDesk;
-use super::FIRST_LOOK;
-use super::LOOK_PAUSE;
+use super::BudgetManager;
+use super::FIRST_PEER_REFRESH_DELAY;
 use super::PEER_PART;
+use super::PEER_REFRESH_INTERVAL;
 use super::PEER_TABLE;
 use super::calls::encode;
-use super::fault_pause;
-use crate::peer::PeerSeat;
+use super::retry_delay;
+use crate::peer::PeerEndpoint;
 use crate::store::KeyedRows;
 use crate::store::RowKey;
 use crate::store::WriteAnswer;
@@ -27,31 +27,31 @@
 /// An instance's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PeerRow {
-    /// Where it answers other instances; `None` if it does not.
+    /// Address for other instances' requests; `None` if it takes none.
     pub(super) address: Option<SocketAddr>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub(super) zone: ZoneId,
 }
 
-impl BudgetDesk {
-    /// Looks at the fleet for as long as the process lives.
-    pub(super) async fn keep_peers(self: Rc<Self>) {
-        // A fleet that starts as a whole is complete after a moment.
-        Timer::after(FIRST_LOOK).await;
+impl BudgetManager {
+    /// Reads the table again and again, for as long as the process runs.
+    pub(super) async fn maintain_peers(self: Rc<Self>) {
+        // Instances that start at the same time have registered by then.
+        Timer::after(FIRST_PEER_REFRESH_DELAY).await;
         loop {
             self.read_peers().await;
-            Timer::after(LOOK_PAUSE).await;
+            Timer::after(PEER_REFRESH_INTERVAL).await;
         }
     }
 
-    /// Writes the own row, however long it takes.
-    pub(super) async fn announce(&self) {
+    /// Registers this instance in the table; retries until it succeeds.
+    pub(super) async fn register(&self) {
         self.write_own_row(self.peers.own_address()).await;
     }
 
-    /// Tells the others that this process leaves: it is not to be asked for
-    /// tokens any more.
-    pub async fn announce_leaving(&self) {
+    /// Removes the address from this instance's row, so that others stop asking it
+    /// for tokens: the process is leaving.
+    pub async fn deregister(&self) {
         self.write_own_row(None).await;
     }
 
@@ -75,7 +75,7 @@
                     version = state.version;
                 }
                 Err(_) => {
-                    Timer::after(fault_pause()).await;
+                    Timer::after(retry_delay()).await;
                 }
             }
         }
@@ -89,28 +89,28 @@
         }
     }
 
-    /// Reads which instances there are; false if the store failed.
+    /// Reads the table; false if the store failed.
     pub(super) async fn read_peers(&self) -> bool {
         match (self.store.table)(PEER_TABLE).await {
             Ok(rows) => {
-                self.book.borrow_mut().set_instances(rows.len());
-                self.take_peers(&rows);
+                self.ledger.borrow_mut().set_instances(rows.len());
+                self.apply_peers(&rows);
                 true
             }
             Err(fault) => {
-                self.note_fault("peers", &fault);
+                self.record_fault("peers", &fault);
                 false
             }
         }
     }
 
-    fn take_peers(&self, rows: &KeyedRows) {
-        let mut seats = Vec::with_capacity(rows.len());
+    fn apply_peers(&self, rows: &KeyedRows) {
+        let mut endpoints = Vec::with_capacity(rows.len());
         for (key, state) in rows {
             let value = state.value.as_deref().unwrap_or_default();
             let row = decode_row::<PeerRow>(value);
             let (Ok(instance), Ok(row)) = (key.parse::<InstanceId>(), row) else {
-                log::warn!("the row of instance `{key}` cannot be read");
+                log::warn!("cannot decode the row of instance `{key}`");
                 continue;
             };
             let Some(address) = row.address.filter(|_| instance != self.instance) else {
@@ -118,15 +118,18 @@
             };
             let zone = row.zone;
             let member = FleetMember { instance, zone };
-            seats.push(PeerSeat { member, address });
+            endpoints.push(PeerEndpoint { member, address });
         }
-        let mut fleet: Vec<FleetMember> = seats.iter().map(|seat| seat.member.clone()).collect();
+        let mut fleet: Vec<FleetMember> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.member.clone())
+            .collect();
         fleet.push(FleetMember {
             instance: self.instance.clone(),
             zone: self.zone.clone(),
         });
-        self.peers.set_seats(seats);
-        self.book.borrow_mut().set_fleet(fleet);
-        self.budget_bell.notify(usize::MAX);
+        self.peers.set_endpoints(endpoints);
+        self.ledger.borrow_mut().set_fleet(fleet);
+        self.budget_wakeup.notify(usize::MAX);
     }
 }
--- a/crates/guavawell-forward/src/budget/rows.rs
+++ b/crates/guavawell-forward/src/budget/rows.rs
@@ -1,4 +1,4 @@
-//! The organisations' rows: what each instance holds of a budget.
+//! The budget rows: the tokens of an organisation that each instance holds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 use smol::LocalExecutor;
 use smol::Timer;
 
+use super::BUDGET_CHECK_INTERVAL;
 use super::BUDGET_TABLE;
-use super::BUDGET_TICK;
-use super::BudgetDesk;
-use super::CONTENDED_EACH;
-use super::CONTENDED_PAUSE;
-use super::FOLLOW_EACH;
-use super::FOLLOW_PAUSE;
-use super::START_SPREAD_EACH;
+use super::BudgetManager;
+use super::CONTENDED_POLL_INTERVAL;
+use super::CONTENDED_POLL_INTERVAL_PER_WRITER;
+use super::POLL_INTERVAL;
+use super::POLL_INTERVAL_PER_WRITER;
+use super::START_JITTER_PER_WRITER;
 use super::calls::DecodedRow;
 use super::calls::budget_key;
 use super::calls::encode;
-use super::fault_pause;
+use super::retry_delay;
 use super::wait_until;
 use crate::clock::timer_span;
 use crate::store::RowChanges;
@@ -33,197 +33,202 @@
 use crate::store::StoreFault;
 use crate::store::WriteAnswer;
 
-/// Times that a row is written again after it changed meanwhile.
-const MAX_CONFLICTS: usize = 5;
+/// Attempts to write a row that other instances change meanwhile.
+const MAX_WRITE_ATTEMPTS: usize = 5;
 
-/// Pause for a write of the same row that is on its way.
-const WRITE_PAUSE: Duration = Duration::from_millis(30);
+/// Interval between checks whether a pending write of the same row has ended.
+const PENDING_WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// How a write of a budget's row ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PutEnd {
+enum WriteOutcome {
     Written,
-    /// The row has changed meanwhile.
+    /// Another instance changed the row first.
     Changed,
-    /// The store turned the write down for its rate.
-    Limited,
+    /// The store's rate limit rejected the write.
+    RateLimited,
     Failed,
 }
 
-/// What keeping a row came to.
+/// How an update of a budget's row ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum KeepEnd {
-    /// A row was written that the present state asked for.
+enum UpdateOutcome {
+    /// The row was written.
     Written,
-    /// The row needs nothing.
-    Kept,
-    /// The store turned a write down for its rate.
-    Limited,
-    /// The store failed, or others wrote the row again and again.
+    /// No write was due.
+    NothingDue,
+    /// The store's rate limit rejected a write.
+    RateLimited,
+    /// A call to the store failed, or every attempt met another instance's write.
     Failed,
 }
 
-impl BudgetDesk {
-    /// Starts a task for each budget as it becomes known.
-    pub(super) async fn watch_budgets(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
+impl BudgetManager {
+    /// Starts a task for each budget once it is known.
+    pub(super) async fn spawn_budget_tasks(self: Rc<Self>, executor: &Rc<LocalExecutor<'static>>) {
         let mut watched: Vec<OrganisationId> = Vec::new();
         loop {
-            let bell = self.budget_bell.listen();
-            let known: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
+            let wakeup = self.budget_wakeup.listen();
+            let known: Vec<OrganisationId> =
+                self.ledger.borrow().organisations().cloned().collect();
             for id in known {
-                if let Err(place) = watched.binary_search(&id) {
-                    watched.insert(place, id.clone());
-                    let desk = Rc::clone(&self);
+                if let Err(index) = watched.binary_search(&id) {
+                    watched.insert(index, id.clone());
+                    let manager = Rc::clone(&self);
                     executor
-                        .spawn(async move { desk.keep_budget(&id).await })
+                        .spawn(async move { manager.maintain_budget(&id).await })
                         .detach();
                 }
             }
-            bell.await;
+            wakeup.await;
         }
     }
 
-    /// Follows what other instances write, so that this one knows their needs
-    /// and seldom writes in vain.
-    pub(super) async fn follow_budgets(&self) {
+    /// Polls for other instances' writes, so that this one knows their shortages
+    /// and its own conditional writes seldom fail.
+    ///
+    /// Where answers are slow, only the changes of a window before each poll are
+    /// read; see `FollowWindow`.
+    pub(super) async fn poll_changes(&self) {
         let mut window = FollowWindow::new(FollowSettings::default());
-        let mut since = self.newest.get();
+        let mut since = self.newest_version.get();
         loop {
-            let interval = self.follow_interval();
+            let interval = self.poll_interval();
             let skipped_span = window.skipped_span(interval);
             if skipped_span > ClockSpan::default() {
                 Timer::after(timer_span(skipped_span)).await;
-                since = self.newest_after(since).await;
+                since = self.newest_version_after(since).await;
             }
-            let rest = interval.as_millis() - skipped_span.as_millis();
-            Timer::after(Duration::from_millis(rest)).await;
-            let usual = self.answer_ms.get();
-            let began = self.clock.now();
+            let remaining = interval.as_millis() - skipped_span.as_millis();
+            Timer::after(Duration::from_millis(remaining)).await;
+            let typical_ms = self.mean_latency_ms.get();
+            let started = self.clock.now();
             match (self.store.changes)(BUDGET_TABLE, since).await {
                 Ok(changes) => {
                     since = changes.newest;
-                    let took = self.clock.now().since(began).as_millis();
-                    let extra = ClockSpan::from_millis(took.saturating_sub(usual));
+                    let took = self.clock.now().since(started).as_millis();
+                    let extra = ClockSpan::from_millis(took.saturating_sub(typical_ms));
                     window.answered(extra, interval);
-                    self.take_changes(&changes);
+                    self.apply_changes(&changes);
                 }
                 Err(StoreFault::HistoryGone) => {
-                    // What was missed shows when a write is turned down.
-                    since = self.newest.get();
+                    // The skipped changes are read when a conditional write fails.
+                    since = self.newest_version.get();
                 }
                 Err(fault) => {
                     window.failed();
-                    self.note_fault("changes", &fault);
+                    self.record_fault("changes", &fault);
                 }
             }
         }
     }
 
-    /// Time between two questions for other instances' writes.
-    fn follow_interval(&self) -> ClockSpan {
-        let contended = self.book.borrow().is_contended(self.clock.now());
-        let (base, each) = if contended {
-            (CONTENDED_PAUSE, CONTENDED_EACH)
+    /// Time between two polls for other instances' writes.
+    fn poll_interval(&self) -> ClockSpan {
+        let contended = self.ledger.borrow().is_contended(self.clock.now());
+        let (base, per_writer) = if contended {
+            (CONTENDED_POLL_INTERVAL, CONTENDED_POLL_INTERVAL_PER_WRITER)
         } else {
-            (FOLLOW_PAUSE, FOLLOW_EACH)
+            (POLL_INTERVAL, POLL_INTERVAL_PER_WRITER)
         };
-        let writers = self.book.borrow().row_writers() as u64;
-        ClockSpan::from_millis(base.as_millis() + each.as_millis() * writers)
+        let writers = self.ledger.borrow().row_writers() as u64;
+        ClockSpan::from_millis(base.as_millis() + per_writer.as_millis() * writers)
     }
 
-    /// The store's newest version, asked for with a small question if no other
-    /// answer has told one after `since`.
-    async fn newest_after(&self, since: u64) -> u64 {
-        if self.newest.get() <= since {
-            self.read_row("newest", self.line_key()).await;
+    /// The store's newest version. Reads one small row to learn it, unless an
+    /// earlier answer already named a version after `since`.
+    async fn newest_version_after(&self, since: u64) -> u64 {
+        if self.newest_version.get() <= since {
+            self.read_row("newest", self.limit_key()).await;
         }
-        self.newest.get().max(since)
+        self.newest_version.get().max(since)
     }
 
-    fn take_changes(&self, changes: &RowChanges) {
-        self.newest.set(self.newest.get().max(changes.newest));
+    fn apply_changes(&self, changes: &RowChanges) {
+        self.newest_version
+            .set(self.newest_version.get().max(changes.newest));
         for (part, state) in &changes.rows {
             let Ok(id) = part.parse::<OrganisationId>() else {
                 continue;
             };
-            let known = self.book.borrow().budget_version(&id);
-            if state.version > known && known > 0 && self.take_budget(&id, state) {
-                self.budget_bell.notify(usize::MAX);
+            let known = self.ledger.borrow().budget_version(&id);
+            if state.version > known && known > 0 && self.apply_budget(&id, state) {
+                self.budget_wakeup.notify(usize::MAX);
             }
         }
     }
 
-    /// Keeps one budget's row up to date.
-    async fn keep_budget(&self, id: &OrganisationId) {
-        let writers = u32::try_from(self.book.borrow().row_writers()).unwrap_or(u32::MAX);
-        let spread = START_SPREAD_EACH * writers;
-        Timer::after(spread.mul_f64(fastrand::f64())).await;
+    /// Keeps one budget's row up to date, for as long as the process runs.
+    async fn maintain_budget(&self, id: &OrganisationId) {
+        let writers = u32::try_from(self.ledger.borrow().row_writers()).unwrap_or(u32::MAX);
+        let max_jitter = START_JITTER_PER_WRITER * writers;
+        Timer::after(max_jitter.mul_f64(fastrand::f64())).await;
         let mut pace = WritePace::new(PaceSettings::default());
         loop {
-            let bell = self.budget_bell.listen();
-            match self.keep_budget_once(id).await {
-                KeepEnd::Written => {
+            let wakeup = self.budget_wakeup.listen();
+            match self.update_budget(id).await {
+                UpdateOutcome::Written => {
                     pace.write_succeeded();
-                    wait_until(bell, BUDGET_TICK).await;
+                    wait_until(wakeup, BUDGET_CHECK_INTERVAL).await;
                 }
-                KeepEnd::Kept => wait_until(bell, BUDGET_TICK).await,
-                KeepEnd::Limited => {
+                UpdateOutcome::NothingDue => wait_until(wakeup, BUDGET_CHECK_INTERVAL).await,
+                UpdateOutcome::RateLimited => {
                     pace.write_throttled();
                     Timer::after(timer_span(pace.pause(fastrand::f64()))).await;
                 }
-                KeepEnd::Failed => {
-                    Timer::after(fault_pause()).await;
+                UpdateOutcome::Failed => {
+                    Timer::after(retry_delay()).await;
                 }
             }
         }
     }
 
-    /// Brings one budget's row up to date.
-    async fn keep_budget_once(&self, id: &OrganisationId) -> KeepEnd {
-        if !self.book.borrow().maintains(id, self.clock.now()) {
-            return KeepEnd::Kept;
+    /// Reads the budget's row if its state is unknown, and writes it if that is due.
+    async fn update_budget(&self, id: &OrganisationId) -> UpdateOutcome {
+        if !self.ledger.borrow().maintains(id, self.clock.now()) {
+            return UpdateOutcome::NothingDue;
         }
-        let unsure = self.book.borrow().must_read_budget(id);
-        if unsure && !self.read_budget(id).await {
-            return KeepEnd::Failed;
+        let must_read = self.ledger.borrow().must_read_budget(id);
+        if must_read && !self.read_budget(id).await {
+            return UpdateOutcome::Failed;
         }
-        for _ in 0..MAX_CONFLICTS {
-            let Some(row) = self.book.borrow().next_budget(id, self.clock.now()) else {
-                return KeepEnd::Kept;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            let Some(row) = self.ledger.borrow().next_budget(id, self.clock.now()) else {
+                return UpdateOutcome::NothingDue;
             };
-            match self.put_budget(id, row).await {
-                PutEnd::Written => return KeepEnd::Written,
-                PutEnd::Limited => return KeepEnd::Limited,
-                PutEnd::Failed => return KeepEnd::Failed,
-                PutEnd::Changed => {}
+            match self.write_budget(id, row).await {
+                WriteOutcome::Written => return UpdateOutcome::Written,
+                WriteOutcome::RateLimited => return UpdateOutcome::RateLimited,
+                WriteOutcome::Failed => return UpdateOutcome::Failed,
+                WriteOutcome::Changed => {}
             }
         }
-        KeepEnd::Failed
+        UpdateOutcome::Failed
     }
 
     async fn read_budget(&self, id: &OrganisationId) -> bool {
         let Some(state) = self.read_row("budget", budget_key(id)).await else {
             return false;
         };
-        self.take_budget(id, &state)
+        self.apply_budget(id, &state)
     }
 
-    fn take_budget(&self, id: &OrganisationId, state: &RowState) -> bool {
+    fn apply_budget(&self, id: &OrganisationId, state: &RowState) -> bool {
         let DecodedRow::Readable(row) = self.decode::<BudgetRow>(&budget_key(id), state) else {
             return false;
         };
-        self.book.borrow_mut().budget_read(id, state.version, row);
+        self.ledger.borrow_mut().budget_read(id, state.version, row);
         self.changed.notify(usize::MAX);
         true
     }
 
-    async fn put_budget(&self, id: &OrganisationId, row: BudgetRow) -> PutEnd {
+    async fn write_budget(&self, id: &OrganisationId, row: BudgetRow) -> WriteOutcome {
         let Some(bytes) = encode(&row) else {
-            return PutEnd::Failed;
+            return WriteOutcome::Failed;
         };
-        let version = self.book.borrow().budget_version(id);
-        let before = self.book.borrow().granted(id);
-        self.book
+        let version = self.ledger.borrow().budget_version(id);
+        let previous_grant = self.ledger.borrow().granted(id);
+        self.ledger
             .borrow_mut()
             .budget_sent(id, row, self.clock.now());
         let answer = self
@@ -232,40 +237,40 @@
         metrics::counter!("guavawell_forward_budget_writes_total").increment(1);
         match answer {
             Ok(WriteAnswer::Done(version, _)) => {
-                self.book.borrow_mut().budget_written(id, version);
+                self.ledger.borrow_mut().budget_written(id, version);
                 self.changed.notify(usize::MAX);
-                self.line_bell.notify(usize::MAX);
-                self.note_grant(id, before, version);
-                PutEnd::Written
+                self.limit_wakeup.notify(usize::MAX);
+                self.log_grant(id, previous_grant, version);
+                WriteOutcome::Written
             }
             Ok(WriteAnswer::Changed(state)) => {
-                self.book.borrow_mut().budget_rejected(id);
-                if self.take_budget(id, &state) {
-                    PutEnd::Changed
+                self.ledger.borrow_mut().budget_rejected(id);
+                if self.apply_budget(id, &state) {
+                    WriteOutcome::Changed
                 } else {
-                    PutEnd::Failed
+                    WriteOutcome::Failed
                 }
             }
             Err(StoreFault::Limited) => {
-                self.book.borrow_mut().budget_rejected(id);
-                PutEnd::Limited
+                self.ledger.borrow_mut().budget_rejected(id);
+                WriteOutcome::RateLimited
             }
             Err(StoreFault::NotDone(_) | StoreFault::HistoryGone) => {
-                self.book.borrow_mut().budget_rejected(id);
-                PutEnd::Failed
+                self.ledger.borrow_mut().budget_rejected(id);
+                WriteOutcome::Failed
             }
             Err(StoreFault::Unknown(_)) => {
-                self.book.borrow_mut().budget_unanswered(id);
-                PutEnd::Failed
+                self.ledger.borrow_mut().budget_unanswered(id);
+                WriteOutcome::Failed
             }
         }
     }
 
-    fn note_grant(&self, id: &OrganisationId, before: u64, version: u64) {
-        let facts = self.book.borrow().facts(id, self.clock.now());
+    fn log_grant(&self, id: &OrganisationId, previous_grant: u64, version: u64) {
+        let facts = self.ledger.borrow().facts(id, self.clock.now());
         let draft = EventDraft::new("budget.granted")
             .organisation(id)
-            .field("before", before)
+            .field("before", previous_grant)
             .field("grant", facts.grant)
             .field("used", facts.used)
             .field("paid", facts.paid)
@@ -275,25 +280,25 @@
         self.log.emit(draft);
     }
 
-    /// Gives every grant back: the process is about to end.
+    /// Gives all grants back before the process ends.
     pub async fn give_back(&self) {
-        self.book.borrow_mut().leave();
-        let ids: Vec<OrganisationId> = self.book.borrow().organisations().cloned().collect();
+        self.ledger.borrow_mut().leave();
+        let ids: Vec<OrganisationId> = self.ledger.borrow().organisations().cloned().collect();
         for id in ids {
-            for _ in 0..MAX_CONFLICTS {
-                // A write of the keeping task may still be on its way.
-                if self.book.borrow().is_writing_budget(&id) {
-                    Timer::after(WRITE_PAUSE).await;
+            for _ in 0..MAX_WRITE_ATTEMPTS {
+                // The budget's own task may still be writing the row.
+                if self.ledger.borrow().is_writing_budget(&id) {
+                    Timer::after(PENDING_WRITE_CHECK_INTERVAL).await;
                     continue;
                 }
-                let unsure = self.book.borrow().must_read_budget(&id);
-                if unsure && !self.read_budget(&id).await {
+                let must_read = self.ledger.borrow().must_read_budget(&id);
+                if must_read && !self.read_budget(&id).await {
                     break;
                 }
-                let Some(row) = self.book.borrow().final_budget(&id) else {
+                let Some(row) = self.ledger.borrow().final_budget(&id) else {
                     break;
                 };
-                if self.put_budget(&id, row).await != PutEnd::Changed {
+                if self.write_budget(&id, row).await != WriteOutcome::Changed {
                     break;
                 }
             }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration in force at this instance, and how old it may be.
 //!
-//! `guavawell_core::forward::ConfigBelief` decides what comes into force; this
-//! folder keeps the configuration itself and what the store holds of it, and asks
+//! `guavawell_core::forward::ConfigBelief` decides which version comes into force.
+//! This module holds the configurations themselves, and fetches newer ones from
 //! other instances while the store does not answer.
 
 mod others;
@@ -27,69 +27,71 @@
 use crate::clock::wait_due;
 use crate::clock::wait_while;
 
-pub use self::others::ask_others;
+pub use self::others::query_peers;
 
-/// How long after another instance spoke of a newer version the store may take
-/// to tell it: in a calm fleet all know a change within milliseconds.
-const HEARD_PATIENCE: ClockSpan = ClockSpan::from_millis(300);
+/// Time after which a newer version named by another instance is fetched from
+/// other instances, unless the store answers first. Normally a change reaches all
+/// instances within milliseconds.
+const NEWER_VERSION_GRACE: ClockSpan = ClockSpan::from_millis(300);
 
-/// Decodes a configuration as the platform's store holds it; the text says what
-/// cannot be read.
+/// Decodes a configuration row of the store; the error text names the invalid part.
 pub type ConfigDecoder = Box<dyn Fn(&[u8]) -> Result<ForwardConfig, Box<str>>>;
 
-/// What an answer of the store tells of the configuration.
+/// The store's answer to a read of the configuration.
 #[derive(Clone, Copy, Debug)]
-pub enum ConfigTold<'a> {
+pub enum FetchedConfig<'a> {
     /// The row's bytes and its revision.
     Row(&'a [u8], u64),
-    /// Why the row of this revision cannot be read.
+    /// Why the row cannot be decoded, and its revision.
     Unreadable(&'a str, u64),
-    /// It is still what the store told last.
+    /// The row is the same as in the store's previous answer.
     Unchanged,
 }
 
-/// What an instance tells another one of the configuration.
+/// The configuration as one instance sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigAnswer {
-    /// The version that the store told it last.
+pub struct PeerConfig {
+    /// The version in force at the sender, which it read from the store.
     pub version: u64,
-    /// How long ago that was surely the newest.
+    /// Time since this version was last known to be the newest.
     pub age: ClockSpan,
-    /// The row as the store holds it; empty if the asker knows it.
+    /// The row as the store holds it; empty if the receiver has this version or a
+    /// newer one.
     pub bytes: Vec<u8>,
 }
 
-/// A configuration that the store told.
+/// A configuration read from the store.
 #[derive(Clone, Debug)]
-struct StoredConfig {
+struct CachedConfig {
     config: Rc<ForwardConfig>,
     bytes: Box<[u8]>,
 }
 
-/// The configuration of one process.
-pub struct ConfigDesk {
+/// Tracks the configuration of this process.
+pub struct ConfigTracker {
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
-    belief: RefCell<ConfigBelief>,
-    /// What is in force.
+    versions: RefCell<ConfigBelief>,
+    /// The configuration in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
-    /// What the store told last.
-    stored: RefCell<Option<StoredConfig>>,
-    /// Age beyond which an answer of the store is overdue.
+    /// The newest configuration read from the store.
+    stored: RefCell<Option<CachedConfig>>,
+    /// Age of the configuration beyond which an answer of the store is overdue.
     overdue_after: ClockSpan,
-    /// Time from a question until it counts as failed.
-    late_after: ClockSpan,
-    /// The store answered.
-    answered: Event,
-    /// Since when a question to the store has no answer when it should, or
-    /// another instance speaks of a newer version.
-    doubted_since: Cell<Option<ClockTime>>,
-    doubted: Event,
+    /// Time after which a poll of the store without an answer counts as failed.
+    answer_timeout: ClockSpan,
+    /// Notified on each answer of the store.
+    answer_event: Event,
+    /// When to query other instances: set after a poll without an answer, or when
+    /// another instance names a newer version; cleared by the store's next answer.
+    query_due_at: Cell<Option<ClockTime>>,
+    /// Notified when a query is scheduled.
+    query_wakeup: Event,
 }
 
-impl ConfigDesk {
-    /// A desk that knows no configuration yet.
+impl ConfigTracker {
+    /// Creates a tracker without a configuration.
     #[must_use]
     pub fn new(
         pace: QuestionPace,
@@ -99,14 +101,14 @@
     ) -> Self {
         Self {
             overdue_after: pace.overdue_after(0),
-            late_after: pace.late_after(),
-            answered: Event::new(),
-            doubted_since: Cell::new(None),
-            doubted: Event::new(),
+            answer_timeout: pace.late_after(),
+            answer_event: Event::new(),
+            query_due_at: Cell::new(None),
+            query_wakeup: Event::new(),
             clock,
             log,
             decode,
-            belief: RefCell::default(),
+            versions: RefCell::default(),
             current: RefCell::default(),
             stored: RefCell::default(),
         }
@@ -118,43 +120,44 @@
         self.current.borrow().clone()
     }
 
-    /// For how long newer versions may exist without being known here; `None`
-    /// while none is known.
+    /// Age of the configuration: for how long a newer version may have existed
+    /// without being known here. `None` before the first one is known.
     #[must_use]
     pub fn age(&self) -> Option<ClockSpan> {
-        self.belief.borrow().age().at(self.clock.boot_now())
+        self.versions.borrow().age().at(self.clock.boot_now())
     }
 
-    /// The version in force; 0 while none is known.
+    /// The version in force; 0 before the first one is known.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.belief.borrow().version().unwrap_or(0)
+        self.versions.borrow().version().unwrap_or(0)
     }
 
-    /// Whether an answer of the store is overdue, so that what is not known here
-    /// may exist all the same.
+    /// Whether an answer of the store is overdue. If so, something missing from the
+    /// configuration in force may still exist.
     #[must_use]
     pub fn is_overdue(&self) -> bool {
         self.age().is_none_or(|age| age > self.overdue_after)
     }
 
-    /// Whether a request waits for an answer of the store.
+    /// Whether a request must wait for an answer of the store: one is overdue, and
+    /// the store is not known to be out of reach.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
-        let belief = self.belief.borrow();
+        let versions = self.versions.borrow();
         let now = self.clock.boot_now();
-        belief.age().is_awaited(self.overdue_after, now)
+        versions.age().is_awaited(self.overdue_after, now)
     }
 
-    /// Waits for an answer of the store that is overdue, for `patience` at most.
-    pub async fn await_check(&self, patience: ClockSpan) {
+    /// Waits up to `max_wait` for an overdue answer of the store.
+    pub async fn await_check(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
-        if !wait_while(&self.clock, &self.answered, patience, awaited).await {
-            self.belief.borrow_mut().age_mut().waited_in_vain();
+        if !wait_while(&self.clock, &self.answer_event, max_wait, awaited).await {
+            self.versions.borrow_mut().age_mut().waited_in_vain();
         }
     }
 
-    /// Tells the metrics how old the configuration may be.
+    /// Writes the age of the configuration to the metrics.
     pub fn report_age(&self) {
         if let Some(age) = self.age() {
             let seconds = fraction(age.as_millis()) / 1_000.0;
@@ -162,128 +165,142 @@
         }
     }
 
-    /// The store answered a question sent at `asked`. Returns the configuration
-    /// that it told, if that could be read.
-    pub fn store_told(&self, told: ConfigTold<'_>, asked: ClockTime) -> Option<Rc<ForwardConfig>> {
+    /// Processes the store's answer to a poll sent at `sent_at`. Returns the
+    /// configuration if the answer holds one that can be decoded.
+    pub fn store_told(
+        &self,
+        fetched: FetchedConfig<'_>,
+        sent_at: ClockTime,
+    ) -> Option<Rc<ForwardConfig>> {
         let now = self.clock.boot_now();
-        self.doubted_since.set(None);
-        let (bytes, revision) = match told {
-            ConfigTold::Row(bytes, revision) => (bytes, revision),
-            ConfigTold::Unreadable(error, revision) => {
-                self.unreadable(error, revision);
+        self.query_due_at.set(None);
+        let (bytes, revision) = match fetched {
+            FetchedConfig::Row(bytes, revision) => (bytes, revision),
+            FetchedConfig::Unreadable(error, revision) => {
+                self.record_unreadable(error, revision);
                 return None;
             }
-            ConfigTold::Unchanged => {
-                let step = self.belief.borrow_mut().store_unchanged(asked, now);
-                self.carry_out(step, None, asked, now);
+            FetchedConfig::Unchanged => {
+                let step = self.versions.borrow_mut().store_unchanged(sent_at, now);
+                self.apply_step(step, None, sent_at, now);
                 return None;
             }
         };
-        let read = self.read(bytes);
-        let config = read
-            .inspect_err(|error| self.unreadable(error, revision))
+        let decoded = self.decode_cached(bytes);
+        let config = decoded
+            .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
-        let mut belief = self.belief.borrow_mut();
-        let step = belief.store_told(config.version, revision, asked, now);
-        drop(belief);
-        self.store(&config, bytes);
-        self.carry_out(step, Some(&config), asked, now);
+        let mut versions = self.versions.borrow_mut();
+        let step = versions.store_told(config.version, revision, sent_at, now);
+        drop(versions);
+        self.cache_stored(&config, bytes);
+        self.apply_step(step, Some(&config), sent_at, now);
         Some(config)
     }
 
-    /// What is in force stays, and is known not to be the newest.
-    fn unreadable(&self, error: &str, revision: u64) {
-        self.belief.borrow_mut().store_unreadable(revision);
+    /// Records a row that cannot be decoded. The configuration in force stays, but
+    /// is known not to be the newest.
+    fn record_unreadable(&self, error: &str, revision: u64) {
+        self.versions.borrow_mut().store_unreadable(revision);
         let draft = EventDraft::new("config.unreadable")
             .field("row", revision)
             .field("error", error);
         self.log.emit(draft);
     }
 
-    /// The store did not answer a question sent at `asked` when it should.
-    pub fn unanswered(&self, asked: ClockTime) {
+    /// Records that a poll of the store sent at `sent_at` got no answer in time.
+    pub fn unanswered(&self, sent_at: ClockTime) {
         let now = self.clock.boot_now();
-        let mut belief = self.belief.borrow_mut();
-        belief.age_mut().unanswered(asked, self.late_after, now);
-        drop(belief);
-        self.doubt(ClockSpan::ZERO);
+        let mut versions = self.versions.borrow_mut();
+        versions
+            .age_mut()
+            .unanswered(sent_at, self.answer_timeout, now);
+        drop(versions);
+        self.schedule_query(ClockSpan::ZERO);
     }
 
-    /// Another instance speaks of a version.
-    pub fn heard(&self, version: u64) {
-        if self.belief.borrow().is_behind(version) {
-            self.doubt(HEARD_PATIENCE);
+    /// Schedules a query if another instance named a version newer than the one in
+    /// force.
+    pub fn observe_version(&self, version: u64) {
+        if self.versions.borrow().is_behind(version) {
+            self.schedule_query(NEWER_VERSION_GRACE);
         }
     }
 
-    /// Has others asked after `patience`, unless the store answers by then.
-    fn doubt(&self, patience: ClockSpan) {
-        let at = self.clock.now() + patience;
-        let before = self.doubted_since.get();
-        self.doubted_since
-            .set(Some(before.map_or(at, |since| since.min(at))));
-        self.doubted.notify(usize::MAX);
+    /// Schedules a query of other instances after `delay`; an answer of the store
+    /// cancels it.
+    fn schedule_query(&self, delay: ClockSpan) {
+        let at = self.clock.now() + delay;
+        let due_at = self.query_due_at.get();
+        self.query_due_at
+            .set(Some(due_at.map_or(at, |due| due.min(at))));
+        self.query_wakeup.notify(usize::MAX);
     }
 
-    /// Waits until others are to be asked.
-    pub async fn wait_doubted(&self) {
-        let since = || self.doubted_since.get();
-        wait_due(&self.clock, &self.doubted, since).await;
+    /// Waits until other instances are to be queried.
+    pub async fn wait_query_due(&self) {
+        let due = || self.query_due_at.get();
+        wait_due(&self.clock, &self.query_wakeup, due).await;
     }
 
-    /// What this instance tells another one that knows a version: only what the
-    /// store told this process, so that a false version goes no further.
+    /// The answer to another instance that has the version `known`. Only a
+    /// configuration that this process read from the store itself is passed on, so
+    /// that a forged version does not spread.
     #[must_use]
-    pub fn tell(&self, known: u64) -> Option<ConfigAnswer> {
-        let belief = self.belief.borrow();
-        let version = belief.proved_version()?;
-        let age = belief.age().at(self.clock.boot_now())?;
+    pub fn answer_peer(&self, known: u64) -> Option<PeerConfig> {
+        let versions = self.versions.borrow();
+        let version = versions.proved_version()?;
+        let age = versions.age().at(self.clock.boot_now())?;
         let stored = self.stored.borrow();
         let stored = stored
             .as_ref()
             .filter(|held| held.config.version == version);
         let bytes = stored.filter(|_| version > known);
-        Some(ConfigAnswer {
+        Some(PeerConfig {
             version,
             age,
             bytes: bytes.map_or(Vec::new(), |held| held.bytes.to_vec()),
         })
     }
 
-    /// Another instance answered a question sent at `asked`; whether it put a
-    /// configuration into force.
+    /// Processes another instance's answer to a query sent at `sent_at`; true if its
+    /// configuration came into force.
     ///
     /// # Errors
     ///
-    /// It told something that cannot be what the store holds.
-    pub fn instance_told(&self, told: &ConfigAnswer, asked: ClockTime) -> Result<bool, Box<str>> {
+    /// The row cannot be decoded, or has another version than the answer names.
+    pub fn apply_peer_config(
+        &self,
+        answer: &PeerConfig,
+        sent_at: ClockTime,
+    ) -> Result<bool, Box<str>> {
         let now = self.clock.boot_now();
-        if told.bytes.is_empty() {
-            let mut belief = self.belief.borrow_mut();
-            if !belief.is_behind(told.version) {
-                belief.instance_told(told.version, told.age, asked, now);
+        if answer.bytes.is_empty() {
+            let mut versions = self.versions.borrow_mut();
+            if !versions.is_behind(answer.version) {
+                versions.instance_told(answer.version, answer.age, sent_at, now);
             }
             return Ok(false);
         }
-        let config = Rc::new((self.decode)(&told.bytes)?);
-        if config.version != told.version {
-            let (named, held) = (told.version, config.version);
-            return Err(format!("it was named {named} and is {held}").into());
+        let config = Rc::new((self.decode)(&answer.bytes)?);
+        if config.version != answer.version {
+            let (named, held) = (answer.version, config.version);
+            return Err(format!("the answer names version {named}, its row has {held}").into());
         }
-        let mut belief = self.belief.borrow_mut();
-        let step = belief.instance_told(told.version, told.age, asked, now);
-        drop(belief);
+        let mut versions = self.versions.borrow_mut();
+        let step = versions.instance_told(answer.version, answer.age, sent_at, now);
+        drop(versions);
         if step != BeliefStep::Take {
             return Ok(false);
         }
-        let asked_ago = now.since(asked).as_millis();
-        let age = ClockSpan::from_millis(told.age.as_millis() + asked_ago);
-        self.put_in_force(&config, ConfigSource::Instance, age);
+        let response_ms = now.since(sent_at).as_millis();
+        let age = ClockSpan::from_millis(answer.age.as_millis() + response_ms);
+        self.activate(&config, ConfigSource::Instance, age);
         Ok(true)
     }
 
-    /// Decodes a row, unless it is the one that is held already.
-    fn read(&self, bytes: &[u8]) -> Result<Rc<ForwardConfig>, Box<str>> {
+    /// Decodes a row, or returns the cached configuration of the same bytes.
+    fn decode_cached(&self, bytes: &[u8]) -> Result<Rc<ForwardConfig>, Box<str>> {
         let stored = self.stored.borrow();
         match stored.as_ref().filter(|stored| *stored.bytes == *bytes) {
             Some(stored) => Ok(Rc::clone(&stored.config)),
@@ -291,40 +308,40 @@
         }
     }
 
-    fn store(&self, config: &Rc<ForwardConfig>, bytes: &[u8]) {
+    fn cache_stored(&self, config: &Rc<ForwardConfig>, bytes: &[u8]) {
         let mut stored = self.stored.borrow_mut();
-        let newer = |held: &StoredConfig| held.config.version >= config.version;
+        let newer = |held: &CachedConfig| held.config.version >= config.version;
         if !stored.as_ref().is_some_and(newer) {
-            *stored = Some(StoredConfig {
+            *stored = Some(CachedConfig {
                 config: Rc::clone(config),
                 bytes: bytes.into(),
             });
         }
     }
 
-    /// Does what follows from an answer of the store.
-    fn carry_out(
+    /// Carries out the decision that follows from an answer of the store.
+    fn apply_step(
         &self,
         step: BeliefStep,
-        told: Option<&Rc<ForwardConfig>>,
-        asked: ClockTime,
+        fetched: Option<&Rc<ForwardConfig>>,
+        sent_at: ClockTime,
         now: ClockTime,
     ) {
-        self.answered.notify(usize::MAX);
-        match (step, told) {
+        self.answer_event.notify(usize::MAX);
+        match (step, fetched) {
             (BeliefStep::Take, Some(config)) => {
-                self.put_in_force(config, ConfigSource::Store, now.since(asked));
+                self.activate(config, ConfigSource::Store, now.since(sent_at));
             }
-            (BeliefStep::Disown, _) => self.disown(),
+            (BeliefStep::Disown, _) => self.revert(),
             _ => {}
         }
     }
 
-    fn put_in_force(&self, config: &Rc<ForwardConfig>, source: ConfigSource, age: ClockSpan) {
-        let before = self.current.replace(Some(Rc::clone(config)));
+    fn activate(&self, config: &Rc<ForwardConfig>, source: ConfigSource, age: ClockSpan) {
+        let previous = self.current.replace(Some(Rc::clone(config)));
         let draft = EventDraft::new("config.in_force")
             .field("version", config.version)
-            .field("before", before.map_or(0, |held| held.version))
+            .field("before", previous.map_or(0, |held| held.version))
             .field("source", source.as_str())
             .field("age_ms", age.as_millis())
             .field("organisations", config.organisations.len());
@@ -332,20 +349,21 @@
         metrics::gauge!("guavawell_forward_config_version").set(fraction(config.version));
     }
 
-    /// Goes back to what the store told last.
-    fn disown(&self) {
+    /// Goes back to the newest configuration read from the store, because the store
+    /// does not hold the one that another instance sent.
+    fn revert(&self) {
         let stored = self.stored.borrow();
-        let instead = stored.as_ref().map(|stored| Rc::clone(&stored.config));
+        let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
         let version = |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |held| held.version);
-        let before = self.current.replace(instead.clone());
+        let previous = self.current.replace(replacement.clone());
         let draft = EventDraft::new("config.disowned")
-            .field("version", version(before.as_ref()))
-            .field("instead", version(instead.as_ref()));
+            .field("version", version(previous.as_ref()))
+            .field("instead", version(replacement.as_ref()));
         self.log.emit(draft);
     }
 }
 
-impl fmt::Debug for ConfigDesk {
+impl fmt::Debug for ConfigTracker {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("ConfigDesk")
     }
--- a/crates/guavawell-forward/src/connect.rs
+++ b/crates/guavawell-forward/src/connect.rs
@@ -59,7 +59,7 @@
 }
 
 fn note_connect_failure(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
-    if error.is_refusal() {
+    if error.is_connection_refused() {
         note_refused(router, server);
         return;
     }
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -230,7 +230,7 @@
             router.crashes.accepted_event.notify(usize::MAX);
             false
         }
-        Err(error) if error.is_refusal() => {
+        Err(error) if error.is_connection_refused() => {
             note_refused(router, server);
             true
         }
@@ -266,7 +266,7 @@
                 continue;
             };
             let again = HttpChannel::connect(address, CONNECT_TIMEOUT).await;
-            if again.is_err_and(|error| error.is_refusal()) {
+            if again.is_err_and(|error| error.is_connection_refused()) {
                 note_refused(&router, &server);
             }
         }
--- a/crates/guavawell-forward/src/http/body.rs
+++ b/crates/guavawell-forward/src/http/body.rs
@@ -1,13 +1,13 @@
-//! Bodies: the decoder of all framings.
+//! Decodes message bodies of all framings.
 
 use thiserror::Error;
 
 use super::BodyFraming;
 
-/// Longest line of a chunk's size, extensions included, in bytes.
-const MAX_SIZE_LINE: usize = 256;
-/// Most bytes of trailers.
-const MAX_TRAILERS: usize = 4_096;
+/// Largest chunk size line, extensions included, in bytes.
+const MAX_CHUNK_SIZE_LINE: usize = 256;
+/// Largest total size of the trailers, in bytes.
+const MAX_TRAILER_BYTES: usize = 4_096;
 
 /// Why a body cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -16,31 +16,31 @@
     #[error("malformed chunk size")]
     ChunkSize,
     /// A chunk does not end with a line break.
-    #[error("a chunk without its line break")]
+    #[error("chunk is not followed by a line break")]
     ChunkEnd,
     /// The trailers are too long.
     #[error("trailers too long")]
     Trailers,
 }
 
-/// Where the decoder stands.
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyState {
-    /// So many bytes of content are left of a length or a chunk.
+    /// This many more bytes of content, up to the length of the body or chunk.
     Content(u64),
-    /// Content until the connection ends.
-    Open,
-    /// A chunk's size line comes next.
-    Size,
-    /// The line break after a chunk comes next.
-    Break,
-    /// Trailers come next; so many bytes of them were read.
+    /// Content until the connection closes.
+    UntilClose,
+    /// The size line of a chunk.
+    ChunkSize,
+    /// The line break after a chunk.
+    ChunkEnd,
+    /// Trailers; this many bytes of them were read.
     Trailers(usize),
-    /// The body has ended.
+    /// Nothing: the body is complete.
     Done,
 }
 
-/// Takes content out of received bytes.
+/// Extracts a body's content from received bytes.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: BodyState,
@@ -48,14 +48,14 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of a body that begins now.
+    /// Creates a decoder for a new body.
     #[must_use]
     pub const fn new(framing: BodyFraming) -> Self {
         let (state, chunked) = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => (BodyState::Done, false),
             BodyFraming::Length(length) => (BodyState::Content(length), false),
-            BodyFraming::Chunked => (BodyState::Size, true),
-            BodyFraming::UntilClose => (BodyState::Open, false),
+            BodyFraming::Chunked => (BodyState::ChunkSize, true),
+            BodyFraming::UntilClose => (BodyState::UntilClose, false),
         };
         Self { state, chunked }
     }
@@ -66,68 +66,69 @@
         self.state == BodyState::Done
     }
 
-    /// Whether the end of the connection is the end of the body.
+    /// Whether the body ends when the connection closes.
     #[must_use]
-    pub fn ends_with_connection(&self) -> bool {
-        self.state == BodyState::Open
+    pub fn ends_at_close(&self) -> bool {
+        self.state == BodyState::UntilClose
     }
 
-    /// Decodes from `input`, appends content to `output` and returns how many
-    /// bytes it took.
+    /// Decodes `input`, appends the content to `output` and returns the number of
+    /// consumed bytes.
     ///
     /// # Errors
     ///
-    /// The chunks are malformed.
+    /// The chunked coding is malformed.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
-        let mut taken = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[taken..];
+            let rest = &input[consumed..];
             let step = self.step(rest, output)?;
             if step == 0 {
-                return Ok(taken);
+                return Ok(consumed);
             }
-            taken += step;
+            consumed += step;
         }
     }
 
-    /// One step; zero if more input is needed or the body is done.
-    fn step(&mut self, rest: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
+    /// Decodes one element and returns the number of consumed bytes: zero if more
+    /// input is needed or the body is complete.
+    fn step(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, BodyError> {
         match self.state {
             BodyState::Done => Ok(0),
-            BodyState::Open => {
-                output.extend_from_slice(rest);
-                Ok(rest.len())
+            BodyState::UntilClose => {
+                output.extend_from_slice(input);
+                Ok(input.len())
             }
-            BodyState::Content(left) => Ok(self.content(left, rest, output)),
-            BodyState::Size => self.size(rest),
-            BodyState::Break => self.line_break(rest),
-            BodyState::Trailers(read) => self.trailer(read, rest),
+            BodyState::Content(remaining) => Ok(self.decode_content(remaining, input, output)),
+            BodyState::ChunkSize => self.decode_chunk_size(input),
+            BodyState::ChunkEnd => self.decode_chunk_end(input),
+            BodyState::Trailers(read) => self.skip_trailer(read, input),
         }
     }
 
-    fn content(&mut self, left: u64, rest: &[u8], output: &mut Vec<u8>) -> usize {
-        let most = usize::try_from(left).unwrap_or(usize::MAX);
-        let count = rest.len().min(most);
-        output.extend_from_slice(&rest[..count]);
-        let left = left - count as u64;
-        self.state = match (left, self.chunked) {
-            (0, true) => BodyState::Break,
+    fn decode_content(&mut self, remaining: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
+        let limit = usize::try_from(remaining).unwrap_or(usize::MAX);
+        let count = input.len().min(limit);
+        output.extend_from_slice(&input[..count]);
+        let remaining = remaining - count as u64;
+        self.state = match (remaining, self.chunked) {
+            (0, true) => BodyState::ChunkEnd,
             (0, false) => BodyState::Done,
-            _ => BodyState::Content(left),
+            _ => BodyState::Content(remaining),
         };
         count
     }
 
-    fn size(&mut self, rest: &[u8]) -> Result<usize, BodyError> {
-        let Some(end) = line_end(rest) else {
-            let too_long = rest.len() > MAX_SIZE_LINE;
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<usize, BodyError> {
+        let Some(end) = line_end(input) else {
+            let too_long = input.len() > MAX_CHUNK_SIZE_LINE;
             return if too_long {
                 Err(BodyError::ChunkSize)
             } else {
                 Ok(0)
             };
         };
-        let line = rest[..end]
+        let line = input[..end]
             .strip_suffix(b"\r\n")
             .ok_or(BodyError::ChunkSize)?;
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
@@ -142,34 +143,34 @@
         Ok(end)
     }
 
-    fn line_break(&mut self, rest: &[u8]) -> Result<usize, BodyError> {
-        if rest.len() < 2 {
-            return if b"\r\n".starts_with(rest) {
+    fn decode_chunk_end(&mut self, input: &[u8]) -> Result<usize, BodyError> {
+        if input.len() < 2 {
+            return if b"\r\n".starts_with(input) {
                 Ok(0)
             } else {
                 Err(BodyError::ChunkEnd)
             };
         }
-        if !rest.starts_with(b"\r\n") {
+        if !input.starts_with(b"\r\n") {
             return Err(BodyError::ChunkEnd);
         }
-        self.state = BodyState::Size;
+        self.state = BodyState::ChunkSize;
         Ok(2)
     }
 
-    fn trailer(&mut self, read: usize, rest: &[u8]) -> Result<usize, BodyError> {
-        let Some(end) = line_end(rest) else {
-            let too_long = read + rest.len() > MAX_TRAILERS;
+    fn skip_trailer(&mut self, read: usize, input: &[u8]) -> Result<usize, BodyError> {
+        let Some(end) = line_end(input) else {
+            let too_long = read + input.len() > MAX_TRAILER_BYTES;
             return if too_long {
                 Err(BodyError::Trailers)
             } else {
                 Ok(0)
             };
         };
-        let empty = &rest[..end] == b"\r\n";
+        let empty = &input[..end] == b"\r\n";
         self.state = match read + end {
             _ if empty => BodyState::Done,
-            read if read > MAX_TRAILERS => return Err(BodyError::Trailers),
+            read if read > MAX_TRAILER_BYTES => return Err(BodyError::Trailers),
             read => BodyState::Trailers(read),
         };
         Ok(end)
@@ -180,5 +181,5 @@
     bytes
         .iter()
         .position(|byte| *byte == b'\n')
-        .map(|place| place + 1)
+        .map(|index| index + 1)
 }
--- a/crates/guavawell-forward/src/http/channel.rs
+++ b/crates/guavawell-forward/src/http/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with what was received and not yet used.
+//! A TCP connection with a receive buffer.
 
 use std::io;
 use std::io::Read;
@@ -18,24 +18,24 @@
 use super::BodyFraming;
 use super::HeadError;
 
-/// Bytes that one read asks for.
-const READ_BYTES: usize = 8 * 1024;
-/// Unacknowledged data makes a connection fail after this time, so that one
-/// whose other end vanished is noticed without its cooperation.
+/// Size of one read, in bytes.
+const READ_SIZE: usize = 8 * 1024;
+/// Time after which unacknowledged data makes a connection fail (`TCP_USER_TIMEOUT`),
+/// so that a peer that vanished without closing it is noticed.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why nothing more can be received.
+/// Why a connection cannot be used any more.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The connection ended between two messages.
+    /// The connection was closed between two messages.
     #[error("connection closed")]
     Closed,
-    /// The connection ended within a message.
+    /// The connection was closed within a message.
     #[error("connection closed within a message")]
-    CutShort,
+    Truncated,
     /// The connection failed.
     #[error("connection failed: {0}")]
-    Broken(#[from] io::Error),
+    Io(#[from] io::Error),
     /// A head is longer than allowed.
     #[error("head longer than allowed")]
     HeadTooLong,
@@ -48,42 +48,43 @@
     /// A body is malformed.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// Time ran out.
-    #[error("time ran out")]
+    /// A step did not finish within its time limit.
+    #[error("timed out")]
     TimedOut,
 }
 
 impl ChannelError {
-    /// Whether nobody listens at the other end.
+    /// Whether nobody listens at the address.
     #[must_use]
-    pub fn is_refusal(&self) -> bool {
-        matches!(self, Self::Broken(error) if error.kind() == io::ErrorKind::ConnectionRefused)
+    pub fn is_connection_refused(&self) -> bool {
+        matches!(self, Self::Io(error) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// One connection.
+/// An open connection.
 #[derive(Debug)]
 pub struct HttpChannel {
     stream: Rc<Async<TcpStream>>,
-    inbox: Vec<u8>,
-    /// Bytes of `inbox` that were used.
-    used: usize,
+    /// Bytes that were received.
+    buffer: Vec<u8>,
+    /// Number of bytes at the start of `buffer` that were consumed.
+    consumed: usize,
 }
 
 impl HttpChannel {
-    /// Takes over a connection.
+    /// Wraps an open connection and sets its socket options.
     ///
     /// # Errors
     ///
-    /// The socket's options cannot be set.
+    /// The socket options cannot be set.
     pub fn new(stream: Async<TcpStream>) -> io::Result<Self> {
         stream.get_ref().set_nodelay(true)?;
         let socket = SockRef::from(stream.get_ref());
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
         Ok(Self {
             stream: Rc::new(stream),
-            inbox: Vec::new(),
-            used: 0,
+            buffer: Vec::new(),
+            consumed: 0,
         })
     }
 
@@ -91,45 +92,45 @@
     ///
     /// # Errors
     ///
-    /// It is refused, or not established within `limit`.
+    /// The connection is refused, or not established within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, ChannelError> {
         let connect = async { Ok(Async::<TcpStream>::connect(address).await?) };
         let stream = within(limit, connect).await?;
         Ok(Self::new(stream)?)
     }
 
-    /// The socket, for a reader or writer beside this one.
+    /// The socket, for use by another reader or writer.
     #[must_use]
     pub fn stream(&self) -> Rc<Async<TcpStream>> {
         Rc::clone(&self.stream)
     }
 
-    /// Received bytes that are not yet used.
+    /// The received bytes that are not yet consumed.
     #[must_use]
     pub fn received(&self) -> &[u8] {
-        &self.inbox[self.used..]
+        &self.buffer[self.consumed..]
     }
 
-    /// Marks received bytes as used.
+    /// Marks received bytes as consumed.
     pub fn consume(&mut self, count: usize) {
-        self.used += count;
-        if self.used >= self.inbox.len() {
-            self.inbox.clear();
-            self.used = 0;
-            self.inbox.shrink_to(READ_BYTES);
+        self.consumed += count;
+        if self.consumed >= self.buffer.len() {
+            self.buffer.clear();
+            self.consumed = 0;
+            self.buffer.shrink_to(READ_SIZE);
         }
     }
 
-    /// Waits for more bytes; zero at the end of the connection. Nothing is lost
-    /// if the wait is given up.
+    /// Waits for more bytes and returns their number: zero if the connection was
+    /// closed. Cancelling the future loses no received bytes.
     ///
     /// # Errors
     ///
     /// The connection failed.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        if self.used > 0 {
-            self.inbox.drain(..self.used);
-            self.used = 0;
+        if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         loop {
             match self.read_ready() {
@@ -142,42 +143,42 @@
         }
     }
 
-    /// Reads what the socket has without waiting.
+    /// Reads available bytes without waiting.
     fn read_ready(&mut self) -> io::Result<usize> {
-        let held = self.inbox.len();
-        self.inbox.resize(held + READ_BYTES, 0);
-        let result = self.stream.get_ref().read(&mut self.inbox[held..]);
+        let filled = self.buffer.len();
+        self.buffer.resize(filled + READ_SIZE, 0);
+        let result = self.stream.get_ref().read(&mut self.buffer[filled..]);
         let count = *result.as_ref().unwrap_or(&0);
-        self.inbox.truncate(held + count);
+        self.buffer.truncate(filled + count);
         result
     }
 
-    /// Waits for a whole head and returns its length. Empty lines before it
-    /// are passed over.
+    /// Waits for a complete head and returns its length. Empty lines before it are
+    /// skipped.
     ///
     /// # Errors
     ///
-    /// The connection ends or fails, or the head is longer than `most` bytes.
-    pub async fn head(&mut self, most: usize) -> Result<usize, ChannelError> {
+    /// The connection is closed or fails, or the head is longer than `limit` bytes.
+    pub async fn head(&mut self, limit: usize) -> Result<usize, ChannelError> {
         let mut searched = 0;
         loop {
             self.skip_empty_lines();
             let bytes = self.received();
             if let Some(end) = head_end(bytes, searched) {
-                return if end > most {
+                return if end > limit {
                     Err(ChannelError::HeadTooLong)
                 } else {
                     Ok(end)
                 };
             }
-            if bytes.len() > most {
+            if bytes.len() > limit {
                 return Err(ChannelError::HeadTooLong);
             }
             searched = bytes.len().saturating_sub(3);
-            let fresh = bytes.is_empty();
+            let before_message = bytes.is_empty();
             match self.fill().await {
-                Ok(0) if fresh => return Err(ChannelError::Closed),
-                Ok(0) => return Err(ChannelError::CutShort),
+                Ok(0) if before_message => return Err(ChannelError::Closed),
+                Ok(0) => return Err(ChannelError::Truncated),
                 Ok(_) => {}
                 Err(error) => return Err(error.into()),
             }
@@ -190,12 +191,12 @@
         }
     }
 
-    /// Decodes what is received of a body, and waits for more if there is
-    /// nothing. Returns false once the body is complete.
+    /// Decodes the received part of a body; waits for more bytes if there is no
+    /// content yet. Returns false once the body is complete.
     ///
     /// # Errors
     ///
-    /// The body is cut short or malformed, or the connection fails.
+    /// The body is truncated or malformed, or the connection fails.
     pub async fn body_part(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -203,8 +204,8 @@
     ) -> Result<bool, ChannelError> {
         let before = output.len();
         loop {
-            let taken = decoder.decode(self.received(), output)?;
-            self.consume(taken);
+            let consumed = decoder.decode(self.received(), output)?;
+            self.consume(consumed);
             if decoder.is_done() {
                 return Ok(false);
             }
@@ -212,30 +213,30 @@
                 return Ok(true);
             }
             if self.fill().await? == 0 {
-                let ended = decoder.ends_with_connection();
+                let ended = decoder.ends_at_close();
                 return if ended {
                     Ok(false)
                 } else {
-                    Err(ChannelError::CutShort)
+                    Err(ChannelError::Truncated)
                 };
             }
         }
     }
 
-    /// Receives a whole body of `most` bytes at most.
+    /// Receives a complete body of at most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// It is longer, cut short or malformed, or the connection fails.
+    /// The body is longer, truncated or malformed, or the connection fails.
     pub async fn body(
         &mut self,
         framing: BodyFraming,
-        most: usize,
+        limit: usize,
     ) -> Result<Vec<u8>, ChannelError> {
         let mut decoder = BodyDecoder::new(framing);
         let mut body = Vec::new();
         while self.body_part(&mut decoder, &mut body).await? {
-            if body.len() > most {
+            if body.len() > limit {
                 return Err(ChannelError::BodyTooLong);
             }
         }
@@ -251,8 +252,8 @@
         (&*self.stream).write_all(bytes).await
     }
 
-    /// Whether an idle connection is still good: open, and nothing came on it
-    /// unasked.
+    /// Whether an idle connection can be used again: it is open, and no unexpected
+    /// bytes were received.
     #[must_use]
     pub fn is_quiet(&self) -> bool {
         if !self.received().is_empty() {
@@ -264,8 +265,8 @@
     }
 }
 
-/// Waits until the other end closes or breaks the connection. Bytes that it
-/// sends meanwhile stay unread; after the first of them this never ends.
+/// Waits until the connection is closed or fails. Received bytes stay unread, and
+/// once there are any, the future never completes.
 pub async fn wait_for_close(stream: &Async<TcpStream>) {
     let mut byte = [0];
     match stream.peek(&mut byte).await {
@@ -274,25 +275,26 @@
     }
 }
 
-/// Runs a step for `limit` at most.
+/// Runs `step` with a time limit.
 ///
 /// # Errors
 ///
-/// The step's own, or `TimedOut`.
+/// The error of `step`, or `TimedOut`.
 pub async fn within<T>(
     limit: Duration,
     step: impl Future<Output = Result<T, ChannelError>>,
 ) -> Result<T, ChannelError> {
-    let late = async {
+    let timeout = async {
         Timer::after(limit).await;
         Err(ChannelError::TimedOut)
     };
-    futures_lite::future::or(step, late).await
+    futures_lite::future::or(step, timeout).await
 }
 
-/// The end of a head, if it is whole. `from` bytes were searched before.
+/// The length of a head; `None` if it is incomplete. The first `from` bytes were
+/// searched before.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
-    let place = rest.windows(4).position(|window| window == b"\r\n\r\n")?;
-    Some(from + place + 4)
+    let index = rest.windows(4).position(|window| window == b"\r\n\r\n")?;
+    Some(from + index + 4)
 }
--- a/crates/guavawell-forward/src/http/head.rs
+++ b/crates/guavawell-forward/src/http/head.rs
@@ -1,40 +1,40 @@
-//! Request and response heads.
+//! Parses request and response heads, and decides on the framing of the body.
 
 use std::ops::Range;
 
 use thiserror::Error;
 
-/// Most fields of a head.
+/// Largest number of fields in a head.
 const MAX_FIELDS: usize = 96;
 
-/// Why a head cannot be used.
+/// Why a head is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// Not a head of HTTP/1.
+    /// It is not an HTTP/1 head.
     #[error("not an HTTP/1 head: {0}")]
     Syntax(httparse::Error),
-    /// The framing of the body can be read in two ways, or in none.
+    /// The framing of the body is ambiguous or unsupported.
     #[error("ambiguous framing: {0}")]
     Framing(&'static str),
-    /// A request without exactly one host.
-    #[error("a request names exactly one host")]
+    /// The request does not have exactly one valid `Host` field.
+    #[error("request needs exactly one valid Host field")]
     Host,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     Empty,
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks.
+    /// The body has the chunked transfer coding.
     Chunked,
-    /// Until the connection ends.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// Header fields in order, as they were sent.
+/// Header fields in their original order and spelling.
 #[derive(Clone, Debug, Default)]
 pub struct FieldList {
     bytes: Box<[u8]>,
@@ -63,14 +63,14 @@
         self.iter().filter(same).map(|(_, value)| value)
     }
 
-    /// The first value of a field, if it is text.
+    /// The first value of a field, if it is valid UTF-8.
     #[must_use]
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         let value = self.all(name).next()?;
         std::str::from_utf8(value).ok()
     }
 
-    /// Whether a comma-separated field holds a token.
+    /// Whether a comma-separated field contains a token, ignoring case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
@@ -79,7 +79,7 @@
             .any(|held| held.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Takes over parsed fields; they lie in `bytes`.
+    /// Copies `bytes` and the positions of the parsed fields, which are slices of it.
     fn capture(bytes: &[u8], parsed: &[httparse::Header<'_>]) -> Self {
         let base = bytes.as_ptr() as usize;
         let place = |part: &[u8]| {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Whether a field concerns one connection only.
+/// Whether a field applies to a single connection and must not be forwarded.
 #[must_use]
 pub fn is_hop_by_hop(fields: &FieldList, name: &str) -> bool {
     const NAMES: [&str; 9] = [
@@ -119,44 +119,44 @@
 pub struct RequestHead {
     /// The method.
     pub method: Box<str>,
-    /// The target as sent: path and query.
+    /// The request target as sent: path and query.
     pub target: Box<str>,
-    /// The host, without a port.
+    /// The host without the port; empty if an HTTP/1.0 request names none.
     pub host: Box<str>,
     /// The header fields.
     pub fields: FieldList,
     /// The framing of the body.
     pub framing: BodyFraming,
-    /// Whether the caller keeps the connection.
+    /// Whether the caller keeps the connection open.
     pub keep: bool,
-    /// Whether the caller understands chunks: HTTP/1.1 or newer.
-    pub takes_chunks: bool,
+    /// Whether the caller accepts a chunked response, which HTTP/1.0 does not have.
+    pub accepts_chunked: bool,
 }
 
 impl RequestHead {
-    /// Parses a whole head, empty line included.
+    /// Parses a complete head, including the empty line.
     ///
     /// # Errors
     ///
     /// The head is malformed or its framing ambiguous.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadError> {
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut request = httparse::Request::new(&mut space);
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut request = httparse::Request::new(&mut header_buffer);
         let status = request.parse(bytes).map_err(HeadError::Syntax)?;
         if status.is_partial() {
             return Err(HeadError::Syntax(httparse::Error::Token));
         }
         let fields = FieldList::capture(bytes, request.headers);
-        let newer = request.version == Some(1);
-        let framing = request_framing(&fields, newer)?;
-        let host = host_of(&fields, newer)?;
+        let is_http11 = request.version == Some(1);
+        let framing = request_framing(&fields, is_http11)?;
+        let host = parse_host(&fields, is_http11)?;
         Ok(Self {
             method: request.method.unwrap_or_default().into(),
             target: request.path.unwrap_or_default().into(),
             host,
             framing,
-            keep: keeps(&fields, newer),
-            takes_chunks: newer,
+            keep: keeps_alive(&fields, is_http11),
+            accepts_chunked: is_http11,
             fields,
         })
     }
@@ -180,28 +180,28 @@
     pub fields: FieldList,
     /// The framing of the body.
     pub framing: BodyFraming,
-    /// Whether the server keeps the connection.
+    /// Whether the server keeps the connection open.
     pub keep: bool,
 }
 
 impl ResponseHead {
-    /// Parses a whole head, empty line included. `to_head` says that the
-    /// request was `HEAD`, whose answers have no body.
+    /// Parses a complete head, including the empty line. `is_head_request` tells
+    /// whether the request method was `HEAD`, whose responses have no body.
     ///
     /// # Errors
     ///
     /// The head is malformed or its framing ambiguous.
-    pub fn parse(bytes: &[u8], to_head: bool) -> Result<Self, HeadError> {
-        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut response = httparse::Response::new(&mut space);
+    pub fn parse(bytes: &[u8], is_head_request: bool) -> Result<Self, HeadError> {
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut response = httparse::Response::new(&mut header_buffer);
         let status = response.parse(bytes).map_err(HeadError::Syntax)?;
         if status.is_partial() {
             return Err(HeadError::Syntax(httparse::Error::Token));
         }
         let fields = FieldList::capture(bytes, response.headers);
-        let newer = response.version == Some(1);
+        let is_http11 = response.version == Some(1);
         let code = response.code.unwrap_or_default();
-        let bodiless = to_head || code == 204 || code == 304 || (100..200).contains(&code);
+        let bodiless = is_head_request || code == 204 || code == 304 || (100..200).contains(&code);
         let framing = if bodiless {
             BodyFraming::Empty
         } else {
@@ -211,37 +211,39 @@
             status: code,
             reason: response.reason.unwrap_or_default().into(),
             framing,
-            keep: keeps(&fields, newer) && framing != BodyFraming::UntilClose,
+            keep: keeps_alive(&fields, is_http11) && framing != BodyFraming::UntilClose,
             fields,
         })
     }
 }
 
-fn keeps(fields: &FieldList, newer: bool) -> bool {
-    if newer {
+fn keeps_alive(fields: &FieldList, is_http11: bool) -> bool {
+    if is_http11 {
         !fields.has_token("connection", "close")
     } else {
         fields.has_token("connection", "keep-alive")
     }
 }
 
-fn host_of(fields: &FieldList, newer: bool) -> Result<Box<str>, HeadError> {
+fn parse_host(fields: &FieldList, is_http11: bool) -> Result<Box<str>, HeadError> {
     let mut hosts = fields.all("host");
     let host = match (hosts.next(), hosts.next()) {
         (Some(host), None) => std::str::from_utf8(host).map_err(|_| HeadError::Host)?,
-        (None, None) if !newer => "",
+        (None, None) if !is_http11 => "",
         _ => return Err(HeadError::Host),
     };
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     Ok(name.into())
 }
 
-fn request_framing(fields: &FieldList, newer: bool) -> Result<BodyFraming, HeadError> {
+fn request_framing(fields: &FieldList, is_http11: bool) -> Result<BodyFraming, HeadError> {
     let length = content_length(fields)?;
     let chunked = is_chunked(fields)?;
     match (length, chunked) {
-        (Some(_), true) => Err(HeadError::Framing("length beside chunks")),
-        (None, true) if !newer => Err(HeadError::Framing("chunks before HTTP/1.1")),
+        (Some(_), true) => Err(HeadError::Framing(
+            "Content-Length together with Transfer-Encoding",
+        )),
+        (None, true) if !is_http11 => Err(HeadError::Framing("Transfer-Encoding before HTTP/1.1")),
         (None, true) => Ok(BodyFraming::Chunked),
         (Some(length), false) => Ok(BodyFraming::Length(length)),
         (None, false) => Ok(BodyFraming::Empty),
@@ -252,7 +254,9 @@
     let length = content_length(fields)?;
     let chunked = is_chunked(fields)?;
     match (length, chunked) {
-        (Some(_), true) => Err(HeadError::Framing("length beside chunks")),
+        (Some(_), true) => Err(HeadError::Framing(
+            "Content-Length together with Transfer-Encoding",
+        )),
         (None, true) => Ok(BodyFraming::Chunked),
         (Some(length), false) => Ok(BodyFraming::Length(length)),
         (None, false) => Ok(BodyFraming::UntilClose),
@@ -260,7 +264,7 @@
 }
 
 fn content_length(fields: &FieldList) -> Result<Option<u64>, HeadError> {
-    let malformed = HeadError::Framing("a length that is not one number");
+    let malformed = HeadError::Framing("invalid or conflicting Content-Length");
     let mut length = None;
     for value in fields.all("content-length") {
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
@@ -279,6 +283,6 @@
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(value), None) if value.eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(HeadError::Framing("a transfer coding other than chunked")),
+        _ => Err(HeadError::Framing("unsupported Transfer-Encoding")),
     }
 }
--- a/crates/guavawell-forward/src/peer/channels.rs
+++ b/crates/guavawell-forward/src/peer/channels.rs
@@ -1,5 +1,5 @@
-//! Connections to other instances. They are kept: in a large fleet most requests
-//! need a question.
+//! Connections to other instances. They are kept open between requests: in a large
+//! fleet most callers' requests need a loan from another instance.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,85 +7,85 @@
 
 use super::FleetKey;
 use super::PeerError;
-use super::PeerQuestion;
-use super::question::HEAD_BYTES;
+use super::PeerRequest;
+use super::question::CONFIG_VERSION_FIELD;
+use super::question::MAX_HEAD_BYTES;
 use super::question::NONCE_FIELD;
-use super::question::VERSION_FIELD;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::ResponseHead;
 use crate::http::within;
 
-/// Connections to other instances that are kept between questions.
-const MAX_IDLE: usize = 48;
-/// Longest wait for the body of an answer: the largest configuration over a small
-/// instance's link.
-const BODY_LIMIT: Duration = Duration::from_secs(6);
-/// Largest body of an answer, in bytes: as large as the store's.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Largest number of idle connections that are kept.
+const MAX_IDLE_CHANNELS: usize = 48;
+/// Timeout for a response body: enough for the largest configuration over the link
+/// of a small instance.
+const BODY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Largest response body, in bytes: the same as for the store.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What another instance answered.
+/// A response of another instance.
 #[derive(Debug)]
-pub(crate) struct PeerAnswer {
-    /// The answer's head.
+pub(crate) struct PeerResponse {
+    /// The response head.
     pub(crate) head: ResponseHead,
-    /// Its body.
+    /// The response body.
     pub(crate) body: Vec<u8>,
 }
 
-/// Connections to other instances.
+/// Idle connections to other instances.
 #[derive(Debug, Default)]
 pub(crate) struct PeerChannels {
     idle: RefCell<Vec<(SocketAddr, HttpChannel)>>,
 }
 
 impl PeerChannels {
-    /// Asks one question, once; `limit` is for the answer's head. `version` is
-    /// that of the configuration in force here.
-    pub(crate) async fn ask(
+    /// Sends a request, without a retry. `limit` is the timeout for the response head,
+    /// and `version` that of the configuration in force here.
+    pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
-        question: &PeerQuestion,
+        request: &PeerRequest,
         key: FleetKey,
         version: u64,
         limit: Duration,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let nonce = fastrand::u64(..);
         let exchange = async {
             let mut channel = match self.take_idle(address) {
                 Some(channel) => channel,
                 None => HttpChannel::connect(address, limit).await?,
             };
-            let mut writer = HeadWriter::request("POST", &question.target());
+            let mut writer = HeadWriter::request("POST", &request.target());
             writer.field_of("Host", address);
             writer.field_of(NONCE_FIELD, nonce);
-            writer.field_of(VERSION_FIELD, version);
-            let body = question.body();
+            writer.field_of(CONFIG_VERSION_FIELD, version);
+            let body = request.body();
             writer.field_of("Content-Length", body.len());
             channel.send(&key.seal(writer, nonce, &body)).await?;
-            let length = channel.head(HEAD_BYTES).await?;
+            let length = channel.head(MAX_HEAD_BYTES).await?;
             let bytes = channel.received()[..length].to_vec();
             channel.consume(length);
             Ok((bytes, channel))
         };
         let (bytes, mut channel) = within(limit, exchange).await?;
         let head = ResponseHead::parse(&bytes, false).map_err(ChannelError::Head)?;
-        let body = within(BODY_LIMIT, channel.body(head.framing, BODY_BYTES)).await?;
-        if !key.is_proved(&bytes, nonce, &body) {
-            return Err(PeerError::Unproved(head.status));
+        let body = within(BODY_TIMEOUT, channel.body(head.framing, MAX_BODY_BYTES)).await?;
+        if !key.verify(&bytes, nonce, &body) {
+            return Err(PeerError::Unauthenticated(head.status));
         }
         let mut idle = self.idle.borrow_mut();
-        if head.keep && idle.len() < MAX_IDLE {
+        if head.keep && idle.len() < MAX_IDLE_CHANNELS {
             idle.push((address, channel));
         }
-        Ok(PeerAnswer { head, body })
+        Ok(PeerResponse { head, body })
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<HttpChannel> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(place) = idle.iter().rposition(|(held, _)| *held == address) {
-            let (_, channel) = idle.swap_remove(place);
+        while let Some(index) = idle.iter().rposition(|(known, _)| *known == address) {
+            let (_, channel) = idle.swap_remove(index);
             if channel.is_quiet() {
                 return Some(channel);
             }
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -1,6 +1,6 @@
-//! Talk between the instances of a fleet: who they are, by which key they know each
-//! other, and what they ask. Rows that say so lie in the store; `budget` reads and
-//! writes them.
+//! Requests between the instances of a fleet: their addresses, the key that
+//! authenticates them, and the messages. The `budget` module reads and writes the
+//! store's rows that hold the addresses and the key.
 
 mod channels;
 mod key;
@@ -19,100 +19,100 @@
 use guavawell_core::id::ZoneId;
 use thiserror::Error;
 
-use self::channels::PeerAnswer;
 use self::channels::PeerChannels;
+use self::channels::PeerResponse;
 use self::question::read_config;
 use self::question::write_config;
 use crate::clock::SteadyClock;
-use crate::config::ConfigAnswer;
-use crate::config::ConfigDesk;
+use crate::config::ConfigTracker;
+use crate::config::PeerConfig;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 
 pub use self::key::FleetKey;
-pub(crate) use self::question::PeerQuestion;
-pub(crate) use self::question::ReceivedQuestion;
-pub(crate) use self::question::VERSION_FIELD;
-pub(crate) use self::question::read_answer;
-pub(crate) use self::question::write_answer;
+pub(crate) use self::question::CONFIG_VERSION_FIELD;
+pub(crate) use self::question::PeerRequest;
+pub(crate) use self::question::ReceivedRequest;
+pub(crate) use self::question::read_loan_answer;
+pub(crate) use self::question::write_loan_answer;
 
-/// How long an instance that did not answer is not asked again: a question to
-/// one that is cut off costs its whole time limit. Doubled with each further
-/// one that it does not answer.
-const AVOID: ClockSpan = ClockSpan::from_millis(1_000);
-/// Doublings of [`AVOID`] at most: one that is back is found within seconds.
-const MAX_DOUBLINGS: u32 = 3;
+/// Time for which an instance that did not answer is avoided, since each request to it
+/// would wait for its whole timeout. Doubled with each consecutive failure.
+const UNREACHABLE_BACKOFF: ClockSpan = ClockSpan::from_millis(1_000);
+/// Largest number of doublings of [`UNREACHABLE_BACKOFF`], so that an instance is
+/// used again within seconds after it recovers.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Field by which an operator shows the fleet's key.
+/// Header field in which an operator sends the fleet's key.
 pub const KEY_FIELD: &str = "Key";
 
-/// Why another instance gave no answer that counts.
+/// Why a request to another instance failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// Nothing came of it.
+    /// The connection failed, or the response is malformed.
     #[error(transparent)]
     Channel(#[from] ChannelError),
-    /// This process does not know the fleet's key, so nobody was asked.
+    /// This process does not know the fleet's key yet, so nothing was sent.
     #[error("the fleet's key is not known yet")]
     NoKey,
-    /// Whoever answered did not prove to know the fleet's key.
-    #[error("an answer with status {0} that bears no proof of the fleet's key")]
-    Unproved(u16),
-    /// The instance knows no configuration.
-    #[error("no configuration is known there")]
+    /// The response does not prove that its sender knows the fleet's key.
+    #[error("response with status {0} has no valid proof of the fleet's key")]
+    Unauthenticated(u16),
+    /// The instance has no configuration that it may pass on.
+    #[error("the instance has no configuration from the store")]
     NoConfig,
 }
 
-/// An instance and where it answers others.
+/// An instance and its address for requests of other instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerSeat {
+pub struct PeerEndpoint {
     /// The instance.
     pub member: FleetMember,
-    /// Where it answers.
+    /// The address.
     pub address: SocketAddr,
 }
 
-/// Another instance.
+/// Another instance, and whether it was reachable.
 #[derive(Clone, Debug)]
 struct PeerEntry {
-    seat: PeerSeat,
-    /// It is not asked before this time.
-    avoided_until: ClockTime,
-    /// Questions in a row that it did not answer.
-    misses: u32,
+    endpoint: PeerEndpoint,
+    /// It is avoided before this time: only configuration queries try it, last.
+    backoff_until: ClockTime,
+    /// Consecutive requests without an answer.
+    failures: u32,
 }
 
 impl PeerEntry {
     const fn instance(&self) -> &InstanceId {
-        &self.seat.member.instance
+        &self.endpoint.member.instance
     }
 }
 
-/// The other instances, as this process knows them.
+/// The other instances known to this process.
 #[derive(Debug)]
-pub struct PeerDesk {
+pub struct PeerRegistry {
     clock: SteadyClock,
-    /// The own availability zone.
+    /// Availability zone of this instance.
     own_zone: ZoneId,
-    /// Where this instance answers others; `None` if it does not.
+    /// Address for requests of other instances; `None` if this one takes none.
     own_address: Option<SocketAddr>,
     /// Sorted by instance.
     peers: RefCell<Vec<PeerEntry>>,
     channels: PeerChannels,
-    /// What proves to other instances that this one is of the fleet.
+    /// The fleet's key, once it was read from the store.
     key: Cell<Option<FleetKey>>,
-    /// The configuration, whose version goes with every message.
-    configs: Rc<ConfigDesk>,
+    /// The configuration; every message names its version.
+    configs: Rc<ConfigTracker>,
 }
 
-impl PeerDesk {
-    /// A desk that knows no other instance yet.
+impl PeerRegistry {
+    /// Creates a registry without instances.
     #[must_use]
     pub fn new(
         clock: SteadyClock,
         own_zone: ZoneId,
         own_address: Option<SocketAddr>,
-        configs: Rc<ConfigDesk>,
+        configs: Rc<ConfigTracker>,
     ) -> Self {
         Self {
             own_zone,
@@ -125,162 +125,168 @@
         }
     }
 
-    /// Where this instance answers others; `None` if it does not.
+    /// Address for requests of other instances; `None` if this one takes none.
     #[must_use]
     pub const fn own_address(&self) -> Option<SocketAddr> {
         self.own_address
     }
 
-    /// The fleet's key was read.
+    /// Sets the fleet's key.
     pub fn set_key(&self, key: FleetKey) {
         self.key.set(Some(key));
     }
 
-    /// The fleet's key, once it is known.
+    /// The fleet's key; `None` until it is known.
     #[must_use]
     pub const fn key(&self) -> Option<FleetKey> {
         self.key.get()
     }
 
-    /// Whether an operator shows the fleet's key.
+    /// Whether the text sent by an operator is the fleet's key.
     #[must_use]
-    pub fn knows_key(&self, text: Option<&str>) -> bool {
+    pub fn matches_key(&self, text: Option<&str>) -> bool {
         let key = self.key.get();
         key.is_some_and(|key| text == Some(key.text().as_str()))
     }
 
-    /// The other instances were read; what is known of how they answer stays.
-    pub(crate) fn set_seats(&self, seats: Vec<PeerSeat>) {
+    /// Replaces the instances by those read from the store. An instance that was
+    /// known with the same address keeps its failures and backoff.
+    pub(crate) fn set_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let mut known = self.peers.borrow_mut();
-        let entry = |seat: PeerSeat| {
-            let before = known.iter().find(|peer| peer.seat == seat);
+        let entry = |endpoint: PeerEndpoint| {
+            let previous = known.iter().find(|peer| peer.endpoint == endpoint);
             PeerEntry {
-                avoided_until: before.map_or(ClockTime::default(), |peer| peer.avoided_until),
-                misses: before.map_or(0, |peer| peer.misses),
-                seat,
+                backoff_until: previous.map_or(ClockTime::default(), |peer| peer.backoff_until),
+                failures: previous.map_or(0, |peer| peer.failures),
+                endpoint,
             }
         };
-        let mut peers: Vec<PeerEntry> = seats.into_iter().map(entry).collect();
+        let mut peers: Vec<PeerEntry> = endpoints.into_iter().map(entry).collect();
         peers.sort_by(|one, other| one.instance().cmp(other.instance()));
         *known = peers;
     }
 
-    /// How many other instances there are.
+    /// Number of other instances.
     pub(crate) fn count(&self) -> usize {
         self.peers.borrow().len()
     }
 
-    /// Asks one question, once; `limit` is for the answer's head.
-    pub(crate) async fn ask(
+    /// Sends a request, without a retry; `limit` is the timeout for the response head.
+    pub(crate) async fn send_request(
         &self,
         address: SocketAddr,
-        question: &PeerQuestion,
+        request: &PeerRequest,
         limit: Duration,
-    ) -> Result<PeerAnswer, PeerError> {
+    ) -> Result<PeerResponse, PeerError> {
         let key = self.key.get().ok_or(PeerError::NoKey)?;
         let version = self.configs.version();
-        let asked = self.channels.ask(address, question, key, version, limit);
-        let answer = asked.await?;
-        self.hear_version(answer.head.fields.get(VERSION_FIELD));
-        Ok(answer)
+        let response = self
+            .channels
+            .send_request(address, request, key, version, limit);
+        let response = response.await?;
+        self.receive_version(response.head.fields.get(CONFIG_VERSION_FIELD));
+        Ok(response)
     }
 
-    /// Asks an instance for the configuration, if it has one newer than `known`.
-    pub(crate) async fn ask_config(
+    /// Requests the configuration from an instance. The response has the row only if
+    /// its version is newer than `known`.
+    pub(crate) async fn fetch_config(
         &self,
         address: SocketAddr,
         known: u64,
         limit: Duration,
-    ) -> Result<ConfigAnswer, PeerError> {
-        let question = PeerQuestion::Config(known);
-        let answer = self.ask(address, &question, limit).await?;
-        read_config(&answer.head, answer.body).ok_or(PeerError::NoConfig)
+    ) -> Result<PeerConfig, PeerError> {
+        let request = PeerRequest::Config(known);
+        let response = self.send_request(address, &request, limit).await?;
+        read_config(&response.head, response.body).ok_or(PeerError::NoConfig)
     }
 
-    /// Answers a question for the configuration; returns the answer's body.
-    pub(crate) fn tell_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
-        let Some(answer) = self.configs.tell(known) else {
+    /// Answers a request for the configuration: writes the header fields and returns
+    /// the response body.
+    pub(crate) fn answer_config(&self, known: u64, writer: &mut HeadWriter) -> Vec<u8> {
+        let Some(answer) = self.configs.answer_peer(known) else {
             return Vec::new();
         };
         write_config(writer, &answer);
         answer.bytes
     }
 
-    /// A message named the version in force at another instance.
-    pub(crate) fn hear_version(&self, text: Option<&str>) {
+    /// Processes the header field that names the version in force at another instance.
+    pub(crate) fn receive_version(&self, text: Option<&str>) {
         if let Some(version) = text.and_then(|text| text.parse().ok()) {
-            self.configs.heard(version);
+            self.configs.observe_version(version);
         }
     }
 
-    /// Names the version in force here.
+    /// Writes the header field that names the version in force here.
     pub(crate) fn write_version(&self, writer: &mut HeadWriter) {
-        writer.field_of(VERSION_FIELD, self.configs.version());
+        writer.field_of(CONFIG_VERSION_FIELD, self.configs.version());
     }
 
-    /// The zone of another instance.
+    /// Availability zone of another instance.
     pub(crate) fn zone_of(&self, instance: &InstanceId) -> Option<ZoneId> {
         let peers = self.peers.borrow();
-        let place = peers.binary_search_by(|peer| peer.instance().cmp(instance));
-        Some(peers[place.ok()?].seat.member.zone.clone())
+        let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
+        Some(peers[index.ok()?].endpoint.member.zone.clone())
     }
 
-    /// Where an instance answers, unless it lately did not.
+    /// Address of an instance; `None` if it is unknown or in its backoff time.
     pub(crate) fn address_of(&self, instance: &InstanceId) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
-        let place = peers.binary_search_by(|peer| peer.instance().cmp(instance));
-        let peer = &peers[place.ok()?];
-        (self.clock.now() >= peer.avoided_until).then_some(peer.seat.address)
+        let index = peers.binary_search_by(|peer| peer.instance().cmp(instance));
+        let peer = &peers[index.ok()?];
+        (self.clock.now() >= peer.backoff_until).then_some(peer.endpoint.address)
     }
 
-    /// All instances that answer, but for those that lately did not.
+    /// Addresses of all other instances, except those in their backoff time.
     pub(crate) fn addresses(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
         let peers = self.peers.borrow();
-        let able = peers.iter().filter(|peer| now >= peer.avoided_until);
-        able.map(|peer| (peer.instance().clone(), peer.seat.address))
+        let reachable = peers.iter().filter(|peer| now >= peer.backoff_until);
+        reachable
+            .map(|peer| (peer.instance().clone(), peer.endpoint.address))
             .collect()
     }
 
-    /// All instances in random order, those that lately did not answer last. One of
-    /// the own availability zone comes first: it is the nearest, unless the zone is
-    /// cut off.
+    /// Addresses of all other instances in random order, those in their backoff time
+    /// last. One of the local availability zone comes first because it is the nearest;
+    /// the rest are of any zone because the local one may be cut off.
     pub(crate) fn shuffled_addresses(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
         let mut peers: Vec<PeerEntry> = self.peers.borrow().clone();
         fastrand::shuffle(&mut peers);
-        peers.sort_by_key(|peer| now < peer.avoided_until);
-        let near = peers
+        peers.sort_by_key(|peer| now < peer.backoff_until);
+        let local = peers
             .iter()
-            .position(|peer| peer.seat.member.zone == self.own_zone);
-        if let Some(near) = near {
-            peers[..=near].rotate_right(1);
+            .position(|peer| peer.endpoint.member.zone == self.own_zone);
+        if let Some(local) = local {
+            peers[..=local].rotate_right(1);
         }
-        let seats = peers.into_iter().map(|peer| peer.seat);
-        seats
-            .map(|seat| (seat.member.instance, seat.address))
+        let endpoints = peers.into_iter().map(|peer| peer.endpoint);
+        endpoints
+            .map(|endpoint| (endpoint.member.instance, endpoint.address))
             .collect()
     }
 
-    /// An instance did not answer.
-    pub(crate) fn avoid(&self, instance: &InstanceId) {
+    /// Starts the backoff time of an instance that did not answer.
+    pub(crate) fn mark_unreachable(&self, instance: &InstanceId) {
         let now = self.clock.now();
-        self.change(instance, |peer| {
-            let span = AVOID.as_millis() << peer.misses.min(MAX_DOUBLINGS);
-            peer.avoided_until = now + ClockSpan::from_millis(span);
-            peer.misses += 1;
+        self.update(instance, |peer| {
+            let span = UNREACHABLE_BACKOFF.as_millis() << peer.failures.min(MAX_BACKOFF_DOUBLINGS);
+            peer.backoff_until = now + ClockSpan::from_millis(span);
+            peer.failures += 1;
         });
     }
 
-    /// An instance answered.
-    pub(crate) fn reached(&self, instance: &InstanceId) {
-        self.change(instance, |peer| peer.misses = 0);
+    /// Resets the failures of an instance that answered.
+    pub(crate) fn mark_reachable(&self, instance: &InstanceId) {
+        self.update(instance, |peer| peer.failures = 0);
     }
 
-    fn change(&self, instance: &InstanceId, change: impl FnOnce(&mut PeerEntry)) {
+    fn update(&self, instance: &InstanceId, update: impl FnOnce(&mut PeerEntry)) {
         let mut peers = self.peers.borrow_mut();
-        if let Ok(place) = peers.binary_search_by(|peer| peer.instance().cmp(instance)) {
-            change(&mut peers[place]);
+        if let Ok(index) = peers.binary_search_by(|peer| peer.instance().cmp(instance)) {
+            update(&mut peers[index]);
         }
     }
 }
--- a/crates/guavawell-forward/src/peer/question.rs
+++ b/crates/guavawell-forward/src/peer/question.rs
@@ -1,4 +1,4 @@
-//! What instances ask each other. A question is a request, its answer a response.
+//! Messages between instances, as HTTP requests and responses.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::grant::LenderId;
@@ -14,67 +14,68 @@
 use guavawell_core::poison::SuspicionList;
 
 use super::FleetKey;
-use crate::config::ConfigAnswer;
+use crate::config::PeerConfig;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
 use crate::http::RequestHead;
 use crate::http::ResponseHead;
 
-/// Largest head of a question or an answer, in bytes.
-pub(crate) const HEAD_BYTES: usize = 4 * 1024;
-/// First segment of the target of a question for tokens.
+/// Largest head of a request or response, in bytes.
+pub(crate) const MAX_HEAD_BYTES: usize = 4 * 1024;
+/// First path segment of a loan request.
 const LOAN_PATH: &str = "loan";
-/// First segment of the target of an account of lent tokens.
+/// First path segment of a loan return.
 const RETURN_PATH: &str = "return";
-/// Target of what is told of requests that crash servers.
+/// Path of a list of suspects: requests that crash servers.
 const SUSPECTS_PATH: &str = "suspects";
-/// First segment of the target of a question for the configuration.
+/// First path segment of a request for the configuration.
 const CONFIG_PATH: &str = "config";
-/// Largest body of a question, in bytes: a whole list of suspects.
-const BODY_BYTES: usize = 32 * 1024;
-/// Second segment where the asker holds tokens too.
+/// Largest request body, in bytes: a full list of suspects.
+const MAX_BODY_BYTES: usize = 32 * 1024;
+/// Second path segment of a loan to an instance that holds tokens itself.
 const SPARE_SCOPE: &str = "spare";
-/// Second segment where the asker holds none.
+/// Second path segment of a loan to an instance that holds none.
 const SHARE_SCOPE: &str = "share";
-/// Field of a question that holds the number drawn for it.
+/// Request field: random number that the proofs of request and response cover.
 pub(crate) const NONCE_FIELD: &str = "Nonce";
-/// Field of questions and answers that names the version in force there.
-pub(crate) const VERSION_FIELD: &str = "Config";
-/// Field of an answer that names the version that the store told.
-const STORED_FIELD: &str = "Stored";
-/// Field of an answer that says how many milliseconds ago it was the newest.
-const AGE_FIELD: &str = "Age";
-/// Field of an answer that says how many tokens were lent.
+/// Field of requests and responses: version of the configuration in force at the
+/// sender.
+pub(crate) const CONFIG_VERSION_FIELD: &str = "Config";
+/// Response field: configuration version that the sender read from the store.
+const STORED_VERSION_FIELD: &str = "Stored";
+/// Response field: milliseconds since that version was known to be the newest.
+const CONFIG_AGE_FIELD: &str = "Age";
+/// Response field: number of tokens lent.
 const LENT_FIELD: &str = "Lent";
-/// Field of an answer that says why none were lent.
+/// Response field: why no tokens were lent.
 const CAUSE_FIELD: &str = "Cause";
-/// Field of an answer that names the life of the process that lent.
-const LIFE_FIELD: &str = "Life";
+/// Response field: nonce of the lending process, which differs after a restart.
+const LENDER_NONCE_FIELD: &str = "Life";
 
-/// What one instance asks another one.
+/// A request from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum PeerQuestion {
-    /// Lend tokens.
+pub(crate) enum PeerRequest {
+    /// Asks for a loan of tokens.
     Loan(OrganisationId, LoanRequest),
-    /// Take in an account of lent tokens.
+    /// Returns unspent tokens of a loan and reports the spent ones.
     Return(LoanReturn),
-    /// Take in what is believed of requests that crash servers.
+    /// Sends suspicions of requests that crash servers.
     Suspects(SuspicionList),
-    /// Tell the configuration if it is newer than this version.
+    /// Asks for the configuration if it is newer than this version.
     Config(u64),
 }
 
-impl PeerQuestion {
-    /// The question as the target of a request.
+impl PeerRequest {
+    /// The path of the HTTP request.
     pub(crate) fn target(&self) -> String {
         match self {
-            Self::Loan(organisation, ask) => {
-                let scope = match ask.scope {
+            Self::Loan(organisation, loan) => {
+                let scope = match loan.scope {
                     LoanScope::Spare => SPARE_SCOPE,
                     LoanScope::Share => SHARE_SCOPE,
                 };
-                let (needed, wanted) = (ask.needed, ask.wanted);
+                let (needed, wanted) = (loan.needed, loan.wanted);
                 format!("/{LOAN_PATH}/{scope}/{organisation}/{needed}/{wanted}")
             }
             Self::Return(account) => format!(
@@ -86,22 +87,22 @@
         }
     }
 
-    /// The body of the request.
+    /// The body of the HTTP request.
     pub(crate) fn body(&self) -> Vec<u8> {
         match self {
             Self::Loan(..) | Self::Return(_) | Self::Config(_) => Vec::new(),
             Self::Suspects(list) => encode_row(list).unwrap_or_else(|error| {
-                log::error!("a list of suspects cannot be encoded: {error}");
+                log::error!("cannot encode a list of suspects: {error}");
                 Vec::new()
             }),
         }
     }
 
-    /// The question in a target and body that reached `own`; `None` if it is
-    /// none.
+    /// Parses the path and body of a request received by the instance `own`; `None` if
+    /// they are malformed.
     pub(crate) fn parse(target: &str, body: &[u8], own: &InstanceId) -> Option<Self> {
         let mut parts = target.strip_prefix('/')?.split('/');
-        let question = match parts.next()? {
+        let request = match parts.next()? {
             LOAN_PATH => {
                 let scope = match parts.next()? {
                     SPARE_SCOPE => LoanScope::Spare,
@@ -111,12 +112,12 @@
                 let organisation = parts.next()?.parse().ok()?;
                 let needed = parts.next()?.parse().ok()?;
                 let wanted = parts.next()?.parse().ok()?;
-                let ask = LoanRequest {
+                let loan = LoanRequest {
                     needed,
                     wanted,
                     scope,
                 };
-                Self::Loan(organisation, ask)
+                Self::Loan(organisation, loan)
             }
             RETURN_PATH => {
                 let organisation = parts.next()?.parse().ok()?;
@@ -133,29 +134,29 @@
             }
             SUSPECTS_PATH => {
                 let list = decode_row(body).inspect_err(|error| {
-                    log::warn!("another instance's list of suspects: {error}");
+                    log::warn!("cannot decode another instance's list of suspects: {error}");
                 });
                 Self::Suspects(list.ok()?)
             }
             CONFIG_PATH => Self::Config(parts.next()?.parse().ok()?),
             _ => return None,
         };
-        parts.next().is_none().then_some(question)
+        parts.next().is_none().then_some(request)
     }
 }
 
-/// Writes an answer to a question for tokens.
-pub(crate) fn write_answer(writer: &mut HeadWriter, answer: LoanAnswer, nonce: u64) {
+/// Writes the response fields of a loan request.
+pub(crate) fn write_loan_answer(writer: &mut HeadWriter, answer: LoanAnswer, nonce: u64) {
     writer.field_of(LENT_FIELD, answer.tokens);
     writer.field_of(CAUSE_FIELD, answer.cause.as_str());
-    writer.field_of(LIFE_FIELD, nonce);
+    writer.field_of(LENDER_NONCE_FIELD, nonce);
 }
 
-/// Reads an answer to a question for tokens: what was lent, by which life of
-/// the process.
-pub(crate) fn read_answer(head: &ResponseHead) -> Option<(LoanAnswer, u64)> {
+/// Reads the response to a loan request: the lender's answer and the nonce of its
+/// process.
+pub(crate) fn read_loan_answer(head: &ResponseHead) -> Option<(LoanAnswer, u64)> {
     let tokens = head.fields.get(LENT_FIELD)?.parse().ok()?;
-    let nonce = head.fields.get(LIFE_FIELD)?.parse().ok()?;
+    let nonce = head.fields.get(LENDER_NONCE_FIELD)?.parse().ok()?;
     let cause = head.fields.get(CAUSE_FIELD)?.parse().ok();
     let answer = LoanAnswer {
         tokens,
@@ -164,48 +165,48 @@
     Some((answer, nonce))
 }
 
-/// Writes what is told of the configuration.
-pub(crate) fn write_config(writer: &mut HeadWriter, answer: &ConfigAnswer) {
-    writer.field_of(STORED_FIELD, answer.version);
-    writer.field_of(AGE_FIELD, answer.age.as_millis());
+/// Writes the response fields of a request for the configuration.
+pub(crate) fn write_config(writer: &mut HeadWriter, answer: &PeerConfig) {
+    writer.field_of(STORED_VERSION_FIELD, answer.version);
+    writer.field_of(CONFIG_AGE_FIELD, answer.age.as_millis());
 }
 
-/// Reads what is told of the configuration.
-pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<ConfigAnswer> {
-    let version = head.fields.get(STORED_FIELD)?.parse().ok()?;
-    let age = head.fields.get(AGE_FIELD)?.parse().ok()?;
-    Some(ConfigAnswer {
+/// Reads the response to a request for the configuration.
+pub(crate) fn read_config(head: &ResponseHead, body: Vec<u8>) -> Option<PeerConfig> {
+    let version = head.fields.get(STORED_VERSION_FIELD)?.parse().ok()?;
+    let age = head.fields.get(CONFIG_AGE_FIELD)?.parse().ok()?;
+    Some(PeerConfig {
         version,
         age: ClockSpan::from_millis(age),
         bytes: body,
     })
 }
 
-/// A question as it was received.
-pub(crate) struct ReceivedQuestion {
-    /// Its head.
+/// A received request, not yet authenticated.
+pub(crate) struct ReceivedRequest {
+    /// The parsed head.
     pub(crate) head: RequestHead,
-    /// The bytes of its head.
+    /// The bytes of the head, which the proof covers.
     bytes: Vec<u8>,
-    /// Its body.
+    /// The body.
     pub(crate) body: Vec<u8>,
 }
 
-impl ReceivedQuestion {
-    /// Reads one question.
+impl ReceivedRequest {
+    /// Reads one request.
     pub(crate) async fn read(channel: &mut HttpChannel) -> Result<Self, ChannelError> {
-        let length = channel.head(HEAD_BYTES).await?;
+        let length = channel.head(MAX_HEAD_BYTES).await?;
         let bytes = channel.received()[..length].to_vec();
         let head = RequestHead::parse(&bytes)?;
         channel.consume(length);
-        let body = channel.body(head.framing, BODY_BYTES).await?;
+        let body = channel.body(head.framing, MAX_BODY_BYTES).await?;
         Ok(Self { head, bytes, body })
     }
 
-    /// The number that the asker drew, if the question bears the key's proof.
-    pub(crate) fn proved_nonce(&self, key: FleetKey) -> Option<u64> {
+    /// The nonce of the request; `None` if the request has no valid proof of `key`.
+    pub(crate) fn authenticated_nonce(&self, key: FleetKey) -> Option<u64> {
         let nonce = self.head.fields.get(NONCE_FIELD)?.parse().ok()?;
-        let proved = key.is_proved(&self.bytes, nonce, &self.body);
-        proved.then_some(nonce)
+        let verified = key.verify(&self.bytes, nonce, &self.body);
+        verified.then_some(nonce)
     }
 }
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -1,9 +1,9 @@
-//! Carries out what is believed of requests that crash servers: what this
-//! instance sees, what it tells the others, and what they tell it.
+//! Detects requests that crash servers, and shares the suspicions with the fleet.
 //!
-//! Two carriers, since either may fail. Each instance has a row in the store
-//! that all follow; a process that starts finds there what was believed before
-//! it. Instances also tell each other directly, which needs no store.
+//! Suspicions spread in two ways, since either may fail. Each instance writes its
+//! own row in the store and all read them, so a process that starts has the earlier
+//! suspicions. Instances also send them directly to each other, which works while
+//! the store is out of reach.
 
 mod publish;
 
@@ -34,38 +34,42 @@
 use crate::crash::AbandonedAttempt;
 use crate::store::RowStore;
 
-/// Table of the instances' rows, in its unnamed part.
+/// Table of the suspicions: one row an instance, all in the part with the empty
+/// name.
 pub const POISON_TABLE: &str = "guavawell_suspects";
 
-/// Pause before a crash is told, for others under the same crash to be told with
-/// it.
-const CRASH_PAUSE: ClockSpan = ClockSpan::from_millis(10);
-/// The same where a request was cleared, which nobody waits for.
-const CLEAR_PAUSE: ClockSpan = ClockSpan::from_millis(300);
+/// Delay before a crash is published, so that the other requests of the crashed
+/// server are in the same message.
+const CRASH_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(10);
+/// Delay before a cleared suspicion is published. It is longer because no request
+/// waits for it.
+const CLEAR_BATCH_DELAY: ClockSpan = ClockSpan::from_millis(300);
 
-/// What this process believes of requests that crash servers.
+/// The suspicions known to this process.
 #[derive(Debug)]
-pub struct PoisonDesk {
+pub struct PoisonTracker {
     instance: InstanceId,
     clock: SteadyClock,
     log: EventLog,
     store: RowStore,
     table: RefCell<PoisonTable>,
-    /// Whether the others' rows were read once.
-    read: Cell<bool>,
+    /// Whether all rows of the store were read once.
+    rows_loaded: Cell<bool>,
     store_clock: Cell<StoreClock>,
-    /// The version of the own row, as far as it is known.
-    row: Cell<u64>,
-    /// When the own row wants writing, if it does.
-    due: Cell<Option<ClockTime>>,
-    row_bell: Event,
-    /// What other instances have not been told directly.
-    news: RefCell<Vec<RequestFingerprint>>,
-    news_bell: Event,
+    /// The last known version of this instance's own row.
+    row_version: Cell<u64>,
+    /// When the own row is to be written, if a change is unpublished.
+    write_due_at: Cell<Option<ClockTime>>,
+    /// Notified when the own row may have to be written.
+    row_wakeup: Event,
+    /// Requests whose change was not yet sent directly to other instances.
+    unsent_changes: RefCell<Vec<RequestFingerprint>>,
+    /// Notified when `unsent_changes` grows.
+    broadcast_wakeup: Event,
 }
 
-impl PoisonDesk {
-    /// A desk that knows nothing yet.
+impl PoisonTracker {
+    /// Creates a tracker without suspicions.
     #[must_use]
     pub fn new(
         instance: InstanceId,
@@ -80,29 +84,30 @@
             log,
             store,
             table: RefCell::new(PoisonTable::new(settings)),
-            read: Cell::new(false),
+            rows_loaded: Cell::new(false),
             store_clock: Cell::default(),
-            row: Cell::new(0),
-            due: Cell::new(None),
-            row_bell: Event::new(),
-            news: RefCell::default(),
-            news_bell: Event::new(),
+            row_version: Cell::new(0),
+            write_due_at: Cell::new(None),
+            row_wakeup: Event::new(),
+            unsent_changes: RefCell::default(),
+            broadcast_wakeup: Event::new(),
         }
     }
 
-    /// How far a request is suspected.
+    /// The suspicion mark of a request.
     #[must_use]
     pub fn mark(&self, fingerprint: RequestFingerprint) -> SuspicionMark {
         self.table.borrow().mark(fingerprint)
     }
 
-    /// The request, if servers crashed under it and it is not refused yet.
+    /// Returns the fingerprint if servers crashed while they ran the request and it
+    /// is not refused yet.
     #[must_use]
     pub fn suspect(&self, fingerprint: RequestFingerprint) -> Option<RequestFingerprint> {
         (self.verdict(fingerprint) == PoisonVerdict::Suspect).then_some(fingerprint)
     }
 
-    /// For how long a request is not to be sent, if it is not.
+    /// How long the request must not be sent to a server; `None` if it may be sent.
     #[must_use]
     pub fn refused_for(&self, fingerprint: RequestFingerprint) -> Option<ClockSpan> {
         match self.verdict(fingerprint) {
@@ -111,20 +116,20 @@
         }
     }
 
-    /// For how long a request that has just come is refused, if it is. One that
-    /// is not decided on waits until it is, for `patience` at most.
+    /// Checks a new request: returns how long it is refused, or `None` if it may be
+    /// sent. While the verdict is undecided, waits for it up to `max_wait`.
     pub async fn judge(
         &self,
         fingerprint: RequestFingerprint,
-        patience: ClockSpan,
+        max_wait: ClockSpan,
     ) -> Option<ClockSpan> {
-        let until = self.clock.now() + patience;
+        let deadline = self.clock.now() + max_wait;
         while let PoisonVerdict::Undecided(span) = self.verdict(fingerprint) {
-            let rest = span.min(self.clock.left(until));
-            if rest == ClockSpan::ZERO {
+            let pause = span.min(self.clock.left(deadline));
+            if pause == ClockSpan::ZERO {
                 return Some(span);
             }
-            Timer::after(timer_span(rest)).await;
+            Timer::after(timer_span(pause)).await;
         }
         self.refused_for(fingerprint)?;
         metrics::counter!("guavawell_forward_poison_refused_total").increment(1);
@@ -133,13 +138,13 @@
         self.refused_for(fingerprint)
     }
 
-    /// Whether another attempt of the same request may follow one that failed.
+    /// Whether a failed attempt of the request may be retried.
     #[must_use]
     pub fn may_retry(&self, fingerprint: RequestFingerprint) -> bool {
         self.table.borrow().may_retry(fingerprint)
     }
 
-    /// A server crashed under an attempt.
+    /// Records that a server crashed while it ran an attempt.
     pub fn crashed(&self, attempt: &AbandonedAttempt) {
         let (fingerprint, organisation) = (attempt.fingerprint, attempt.organisation);
         let now = self.clock.now();
@@ -148,20 +153,20 @@
         let change = table.crashed(fingerprint, organisation, attempt.began, server, now);
         drop(table);
         if let Some(change) = change {
-            self.note_change(change, &format_args!("crash of {}", attempt.server));
-            self.announce(change, CRASH_PAUSE);
+            self.record_change(change, &format_args!("crash of {}", attempt.server));
+            self.schedule_publication(change, CRASH_BATCH_DELAY);
         }
     }
 
-    /// A request was answered completely.
+    /// Records a complete answer to a request, which clears its suspicion.
     pub fn answered(&self, fingerprint: RequestFingerprint) {
         let now = self.clock.now();
         let change = self.table.borrow_mut().answered(fingerprint, now);
         self.clear(change, &"answer");
     }
 
-    /// An operator says that a request crashes no servers; false if it is not
-    /// suspected.
+    /// Clears the suspicion of a request at an operator's command; false if it is
+    /// not suspected.
     pub fn acquit(&self, fingerprint: RequestFingerprint) -> bool {
         let now = self.clock.now();
         let change = self.table.borrow_mut().acquit(fingerprint, now);
@@ -171,20 +176,28 @@
 
     fn clear(&self, change: Option<MarkChange>, cause: &dyn std::fmt::Display) {
         if let Some(change) = change {
-            self.note_change(change, cause);
+            self.record_change(change, cause);
             let refusal_threshold = self.table.borrow().settings().refusal_threshold;
             let urgent = change.before.crashes >= refusal_threshold;
-            self.announce(change, if urgent { CRASH_PAUSE } else { CLEAR_PAUSE });
+            self.schedule_publication(
+                change,
+                if urgent {
+                    CRASH_BATCH_DELAY
+                } else {
+                    CLEAR_BATCH_DELAY
+                },
+            );
         }
     }
 
-    /// Another instance told what it saw.
+    /// Merges a list of suspicions that another instance sent.
     pub fn learn(&self, list: &SuspicionList, from: &dyn std::fmt::Display) {
-        self.take_list(list, false, from);
+        self.apply_list(list, false, from);
     }
 
-    /// A row of [`POISON_TABLE`] was read; `time` is the store's steady time.
-    pub fn learn_row(&self, key: &str, version: u64, bytes: &[u8], time: Option<ClockTime>) {
+    /// Merges a row read from [`POISON_TABLE`]; `time` is the store's steady time when
+    /// it answered.
+    pub fn apply_row(&self, key: &str, version: u64, bytes: &[u8], time: Option<ClockTime>) {
         let now = self.clock.now();
         if let Some(time) = time {
             let mut clock = self.store_clock.get();
@@ -193,10 +206,10 @@
         }
         let own = key == self.instance.as_str();
         if own {
-            self.row.set(self.row.get().max(version));
+            self.row_version.set(self.row_version.get().max(version));
         }
         match decode_row::<SuspicionList>(bytes) {
-            Ok(list) => self.take_list(&list, own, &key),
+            Ok(list) => self.apply_list(&list, own, &key),
             Err(error) => {
                 let draft = EventDraft::new("store.row_unreadable")
                     .field("row", format_args!("{POISON_TABLE}/{key}"))
@@ -207,26 +220,26 @@
         }
     }
 
-    /// All rows were read once.
-    pub fn rows_read(&self) {
-        if !self.read.replace(true) {
-            self.row_bell.notify(usize::MAX);
+    /// Records that all rows were read once, so that the own row may be written.
+    pub fn set_rows_loaded(&self) {
+        if !self.rows_loaded.replace(true) {
+            self.row_wakeup.notify(usize::MAX);
         }
     }
 
     /// Whether all rows were read once.
     #[must_use]
     pub fn is_read(&self) -> bool {
-        self.read.get()
+        self.rows_loaded.get()
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired suspicions.
     pub fn sweep(&self) {
         let now = self.clock.now();
         self.table.borrow_mut().sweep(now);
     }
 
-    /// What is believed, a line for each request, for an operator.
+    /// Lists the suspicions for an operator, one line a request.
     #[must_use]
     pub fn listing(&self) -> String {
         let now = self.clock.now();
@@ -252,31 +265,31 @@
         self.table.borrow().verdict(fingerprint, self.clock.now())
     }
 
-    fn take_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
+    fn apply_list(&self, list: &SuspicionList, own: bool, from: &dyn std::fmt::Display) {
         let now = self.clock.now();
-        let mut learned = 0;
-        for told in list.aged(self.store_clock.get().now(now)) {
-            let change = self.table.borrow_mut().learn(told, own, now);
+        let mut merged = 0;
+        for suspicion in list.aged(self.store_clock.get().now(now)) {
+            let change = self.table.borrow_mut().learn(suspicion, own, now);
             let Some(change) = change else {
                 continue;
             };
-            if change.mark != told.mark {
+            if change.mark != suspicion.mark {
                 self.clear(Some(change), &"answer");
-            } else if is_of_note(change) {
-                self.note_change(change, &format_args!("told by {from}"));
+            } else if has_own_event(change) {
+                self.record_change(change, &format_args!("told by {from}"));
             } else {
-                learned += 1;
+                merged += 1;
             }
         }
-        if learned > 0 {
+        if merged > 0 {
             let draft = EventDraft::new("poison.learned")
                 .field("from", from)
-                .field("requests", learned);
+                .field("requests", merged);
             self.log.emit(draft);
         }
     }
 
-    fn note_change(&self, change: MarkChange, cause: &dyn std::fmt::Display) {
+    fn record_change(&self, change: MarkChange, cause: &dyn std::fmt::Display) {
         let refusal_threshold = self.table.borrow().settings().refusal_threshold;
         let kind = match change.mark.crashes {
             0 => "poison.cleared",
@@ -292,45 +305,48 @@
         self.log.emit(draft);
     }
 
-    /// Has a change told to the others.
-    fn announce(&self, change: MarkChange, pause: ClockSpan) {
-        let at = self.clock.now() + pause;
-        let due = self.due.get().map_or(at, |due| due.min(at));
-        self.due.set(Some(due));
-        self.row_bell.notify(usize::MAX);
-        let mut news = self.news.borrow_mut();
-        if !news.contains(&change.fingerprint) {
-            news.push(change.fingerprint);
+    /// Schedules a change to be written to the own row after `delay`, and sent to
+    /// other instances.
+    fn schedule_publication(&self, change: MarkChange, delay: ClockSpan) {
+        let at = self.clock.now() + delay;
+        let due = self.write_due_at.get().map_or(at, |due| due.min(at));
+        self.write_due_at.set(Some(due));
+        self.row_wakeup.notify(usize::MAX);
+        let mut unsent_changes = self.unsent_changes.borrow_mut();
+        if !unsent_changes.contains(&change.fingerprint) {
+            unsent_changes.push(change.fingerprint);
         }
-        self.news_bell.notify(usize::MAX);
+        self.broadcast_wakeup.notify(usize::MAX);
     }
 
-    /// Waits for something that other instances are to be told directly, as much
-    /// as a row holds at most.
-    pub async fn next_news(&self) -> Vec<SharedSuspicion> {
+    /// Waits for changes to send directly to other instances, and returns at most as
+    /// many as a row may hold.
+    pub async fn next_broadcast(&self) -> Vec<SharedSuspicion> {
         loop {
-            let bell = self.news_bell.listen();
-            if !self.news.borrow().is_empty() {
+            let wakeup = self.broadcast_wakeup.listen();
+            if !self.unsent_changes.borrow().is_empty() {
                 break;
             }
-            bell.await;
+            wakeup.await;
         }
-        Timer::after(timer_span(CRASH_PAUSE)).await;
+        Timer::after(timer_span(CRASH_BATCH_DELAY)).await;
         let now = self.clock.now();
         let table = self.table.borrow();
-        let mut news = self.news.borrow_mut();
-        // A message is no longer than a row; what is left is told next.
-        let rest = news.len().min(table.settings().max_published);
-        let rest = news.split_off(rest);
-        let news = std::mem::replace(&mut *news, rest);
-        news.into_iter()
+        let mut unsent_changes = self.unsent_changes.borrow_mut();
+        // A message holds no more than a row does; the rest is in the next one.
+        let batch_size = unsent_changes.len().min(table.settings().max_published);
+        let remaining = unsent_changes.split_off(batch_size);
+        let batch = std::mem::replace(&mut *unsent_changes, remaining);
+        batch
+            .into_iter()
             .filter_map(|fingerprint| table.shared(fingerprint, now))
             .collect()
     }
 }
 
-/// A first crash names every request at a server, and an answer clears nearly
-/// all of them: of those that others tell, one line tells them all.
-const fn is_of_note(change: MarkChange) -> bool {
+/// Whether a change that another instance reported gets an event of its own. A first
+/// crash marks every request at a server and an answer clears nearly all of them, so
+/// these changes share one event for each list.
+const fn has_own_event(change: MarkChange) -> bool {
     change.mark.crashes > 1 || change.before.crashes > 1
 }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -166,7 +166,7 @@
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
         }
         let rest = buffered.len() - scan.complete_bytes;
-        if !more && rest > 0 && response.decoder.ends_with_connection() {
+        if !more && rest > 0 && response.decoder.ends_at_close() {
             // The connection was closed in the middle of an event.
             response.guard.note_outcome(true);
             return AttemptOutcome::Ended(AttemptEnd::Lost, None);
@@ -263,7 +263,7 @@
 
 impl ResponseWriter {
     fn new(router: &ForwardRouter, call: &ForwardCall<'_>) -> Self {
-        let chunked = call.request.head.takes_chunks;
+        let chunked = call.request.head.accepts_chunked;
         Self {
             pending: Vec::new(),
             chunked,
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -22,14 +22,14 @@
 use guavawell_fleet::event::EventDraft;
 use guavawell_fleet::event::EventLog;
 
-use crate::budget::BudgetDesk;
+use crate::budget::BudgetManager;
 use crate::clock::SteadyClock;
 use crate::clock::wait_while;
-use crate::config::ConfigDesk;
-use crate::config::ConfigTold;
+use crate::config::ConfigTracker;
+use crate::config::FetchedConfig;
 use crate::crash::CrashChecks;
-use crate::peer::PeerDesk;
-use crate::poison::PoisonDesk;
+use crate::peer::PeerRegistry;
+use crate::poison::PoisonTracker;
 use crate::pool::ConnectionPool;
 use crate::settings::ForwardSettings;
 
@@ -56,7 +56,7 @@
     /// The event log.
     pub log: EventLog,
     /// The configuration in force.
-    pub configs: Rc<ConfigDesk>,
+    pub configs: Rc<ConfigTracker>,
     /// The known backend servers.
     pub servers: RefCell<ServerTable>,
     /// Notified when a server has restarted under the same id.
@@ -83,11 +83,11 @@
     /// Idle connections to servers.
     pub pool: RefCell<ConnectionPool>,
     /// The other instances.
-    pub peers: Rc<PeerDesk>,
+    pub peers: Rc<PeerRegistry>,
     /// The budgets of the organisations.
-    pub budgets: Rc<BudgetDesk>,
+    pub budgets: Rc<BudgetManager>,
     /// Requests that are suspected of crashing servers.
-    pub poison: Rc<PoisonDesk>,
+    pub poison: Rc<PoisonTracker>,
     /// Checks whether servers that broke off responses have crashed.
     pub crashes: CrashChecks,
     /// Number of requests being served.
@@ -107,9 +107,9 @@
         settings: ForwardSettings,
         clock: SteadyClock,
         log: EventLog,
-        configs: Rc<ConfigDesk>,
-        budgets: Rc<BudgetDesk>,
-        poison: Rc<PoisonDesk>,
+        configs: Rc<ConfigTracker>,
+        budgets: Rc<BudgetManager>,
+        poison: Rc<PoisonTracker>,
     ) -> Self {
         Self {
             clock,
@@ -140,7 +140,7 @@
 
     /// Handles the store's answer to a query for the configuration that was
     /// sent at `asked`.
-    pub fn config_received(&self, fetched: ConfigTold<'_>, asked: ClockTime) {
+    pub fn config_received(&self, fetched: FetchedConfig<'_>, asked: ClockTime) {
         let Some(config) = self.configs.store_told(fetched, asked) else {
             return;
         };
@@ -367,7 +367,7 @@
 
     /// Records that the suspected requests were read.
     pub fn suspects_loaded(&self) {
-        self.poison.rows_read();
+        self.poison.set_rows_loaded();
         self.state_loaded.notify(usize::MAX);
     }
 
--- a/crates/guavawell-forward/src/shutdown.rs
+++ b/crates/guavawell-forward/src/shutdown.rs
@@ -28,7 +28,7 @@
         Timer::after(timer_span(times.announce)).await;
     };
     let announced_to_peers = async {
-        router.budgets.announce_leaving().await;
+        router.budgets.deregister().await;
         std::future::pending::<()>().await;
     };
     announced.or(announced_to_peers).await;
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -20,13 +20,13 @@
 use guavawell_core::id::InstanceId;
 use guavawell_core::poison::PoisonSettings;
 use guavawell_fleet::event::EventLog;
-use guavawell_forward::budget::BudgetDesk;
+use guavawell_forward::budget::BudgetManager;
 use guavawell_forward::clock::SteadyClock;
-use guavawell_forward::config::ConfigDesk;
-use guavawell_forward::config::ConfigTold;
+use guavawell_forward::config::ConfigTracker;
+use guavawell_forward::config::FetchedConfig;
 use guavawell_forward::field_names::FieldNames;
-use guavawell_forward::peer::PeerDesk;
-use guavawell_forward::poison::PoisonDesk;
+use guavawell_forward::peer::PeerRegistry;
+use guavawell_forward::poison::PoisonTracker;
 use guavawell_forward::router::ForwardRouter;
 use guavawell_forward::settings::ForwardSettings;
 use guavawell_forward::settings::ListenAddresses;
@@ -68,7 +68,7 @@
         instance: instance.clone(),
         zone: "z1".parse().expect("a valid id"),
     };
-    let poison = Rc::new(PoisonDesk::new(
+    let poison = Rc::new(PoisonTracker::new(
         instance.clone(),
         PoisonSettings::default(),
         clock,
@@ -77,19 +77,19 @@
     ));
     let own = Rc::clone(&poison);
     let decode = Box::new(|_: &[u8]| Ok(config()));
-    let configs = Rc::new(ConfigDesk::new(
+    let configs = Rc::new(ConfigTracker::new(
         TimeSettings::default().config,
         clock,
         log.clone(),
         decode,
     ));
-    let peers = Rc::new(PeerDesk::new(
+    let peers = Rc::new(PeerRegistry::new(
         clock,
         member.zone.clone(),
         None,
         Rc::clone(&configs),
     ));
-    let desk = BudgetDesk::new(member, book, clock, log.clone(), store, own, peers);
+    let desk = BudgetManager::new(member, book, clock, log.clone(), store, own, peers);
     let settings = ForwardSettings {
         instance,
         zone: "z1".parse().expect("a valid id"),
@@ -123,7 +123,7 @@
     block_on(async {
         let mut first = Box::pin(router.wait_for_initial_state());
         assert!(poll_once(&mut first).await.is_none());
-        let told = ConfigTold::Row(b"the first", 1);
+        let told = FetchedConfig::Row(b"the first", 1);
         router.config_received(told, router.clock.boot_now());
         assert!(
             poll_once(&mut first).await.is_none(),
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use guavawell_forward::http::OpenTries;
-use guavawell_forward::http::OpenTry;
+use guavawell_forward::http::HedgedTries;
+use guavawell_forward::http::HedgedTry;
 use smol::Timer;
 
 /// Longer than any test runs.
@@ -13,7 +13,7 @@
 /// Does not wait at all.
 const NONE: Duration = Duration::ZERO;
 
-type NumberTry = OpenTry<'static, u32, &'static str>;
+type NumberTry = HedgedTry<'static, u32, &'static str>;
 
 fn silent() -> NumberTry {
     Box::pin(std::future::pending())
@@ -26,7 +26,7 @@
 #[test]
 fn a_late_answer_to_an_earlier_try_counts() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let late: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(20)).await;
             Ok(1)
@@ -39,7 +39,7 @@
 #[test]
 fn a_failure_of_the_newest_try_is_returned_at_once_and_an_open_one_still_counts() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let late: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(20)).await;
             Ok(1)
@@ -54,7 +54,7 @@
 #[test]
 fn a_failure_of_an_earlier_try_is_ignored() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let later: NumberTry = Box::pin(async {
             Timer::after(Duration::from_millis(10)).await;
             Err("failed")
@@ -71,7 +71,7 @@
 #[test]
 fn a_failure_without_other_open_tries_is_returned_at_once() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(3);
+        let mut tries = HedgedTries::new(3);
         let told = tries.first_answer(failed(), NEVER).await;
         assert_eq!(told, Some(Err("failed")));
     });
@@ -80,7 +80,7 @@
 #[test]
 fn an_answer_cancels_all_other_tries_and_a_new_try_replaces_the_oldest() {
     smol::block_on(async {
-        let mut tries = OpenTries::new(2);
+        let mut tries = HedgedTries::new(2);
         let slow = |number, millis| -> NumberTry {
             Box::pin(async move {
                 Timer::after(Duration::from_millis(millis)).await;
