--- a/crates/guavawell-core/src/forward/admission.rs
+++ b/crates/guavawell-core/src/forward/admission.rs
@@ -12,7 +12,7 @@
     /// Requests that may be held at once.
     pub requests: usize,
     /// A request with less time left is refused: an answer cannot arrive.
-    pub least_time: ClockSpan,
+    pub min_time_left: ClockSpan,
 }
 
 impl Default for AdmissionSettings {
@@ -20,7 +20,7 @@
         Self {
             body_bytes: 24 * 1024 * 1024,
             requests: 1_500,
-            least_time: ClockSpan::from_millis(5),
+            min_time_left: ClockSpan::from_millis(5),
         }
     }
 }
@@ -36,7 +36,7 @@
     held_bytes: usize,
     time_left: ClockSpan,
 ) -> Result<(), ForwardRefusal> {
-    if time_left < settings.least_time {
+    if time_left < settings.min_time_left {
         return Err(ForwardRefusal::TooLate);
     }
     if held_requests >= settings.requests || held_bytes >= settings.body_bytes {
--- a/crates/guavawell-core/src/forward/age.rs
+++ b/crates/guavawell-core/src/forward/age.rs
@@ -8,7 +8,7 @@
 use crate::clock::ClockTime;
 
 /// How much later than meant a process that runs looks whether an answer came.
-const LISTEN_SLACK: ClockSpan = ClockSpan::from_millis(300);
+const CHECK_DELAY: ClockSpan = ClockSpan::from_millis(300);
 
 /// The age of what is known. Times are of a clock that counts suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     /// When the latest question was sent that was answered.
     checked_at: Option<ClockTime>,
     /// The store is known not to answer now.
-    away: bool,
+    store_unreachable: bool,
 }
 
 impl FeedAge {
@@ -25,7 +25,7 @@
     pub const fn checked(at: ClockTime) -> Self {
         Self {
             checked_at: Some(at),
-            away: false,
+            store_unreachable: false,
         }
     }
 
@@ -38,7 +38,7 @@
 
     /// Another instance knew as much at a time `at`. That the store answers it says
     /// nothing of the own way there.
-    pub fn check_through_others(&mut self, at: ClockTime) {
+    pub fn check_by_instance(&mut self, at: ClockTime) {
         self.checked_at = self.checked_at.max(Some(at));
     }
 
@@ -54,18 +54,18 @@
     /// known to be away nobody waits.
     #[must_use]
     pub fn is_awaited(&self, overdue_after: ClockSpan, now: ClockTime) -> bool {
-        !self.away && self.at(now).is_some_and(|age| age > overdue_after)
+        !self.store_unreachable && self.at(now).is_some_and(|age| age > overdue_after)
     }
 
     /// A request waited in vain.
-    pub const fn waited_in_vain(&mut self) {
-        self.away = true;
+    pub const fn wait_timed_out(&mut self) {
+        self.store_unreachable = true;
     }
 
     /// A question sent at `asked` has no answer. That says something of the store
     /// only if the process ran meanwhile: it should have come by `due_after`.
     pub fn unanswered(&mut self, asked: ClockTime, due_after: ClockSpan, now: ClockTime) {
-        let listened = now.since(asked) <= due_after + LISTEN_SLACK;
-        self.away = self.away || listened;
+        let was_running = now.since(asked) <= due_after + CHECK_DELAY;
+        self.store_unreachable = self.store_unreachable || was_running;
     }
 }
--- a/crates/guavawell-core/src/forward/plan.rs
+++ b/crates/guavawell-core/src/forward/attempt.rs
@@ -4,7 +4,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatKind {
+pub enum RetrySafety {
     /// May run any number of times.
     Idempotent,
     /// May run once at most.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Choose another backend server and send again.
-    Again,
+    Retry,
     /// Hand the backend server's own failure to the caller.
     Relay,
     /// Answer with a refusal.
@@ -41,17 +41,17 @@
 
 /// Decides what follows an attempt.
 ///
-/// `may_repeat` tells whether attempts, time and the allowance for repeats
+/// `may_retry` tells whether attempts, time and the allowance for repeats
 /// leave room for one more. A request that may run once goes on only after
 /// proof that it did not run.
 #[must_use]
-pub fn next_step(repeat: RepeatKind, end: AttemptEnd, may_repeat: bool) -> NextStep {
-    let runs_again = repeat != RepeatKind::Once;
+pub fn next_step(retry_safety: RetrySafety, end: AttemptEnd, may_retry: bool) -> NextStep {
+    let is_repeatable = retry_safety != RetrySafety::Once;
     match end {
-        AttemptEnd::NotSent | AttemptEnd::Rejected if may_repeat => NextStep::Again,
+        AttemptEnd::NotSent | AttemptEnd::Rejected if may_retry => NextStep::Retry,
         AttemptEnd::NotSent => NextStep::Refuse(ForwardRefusal::NoServer),
         AttemptEnd::Rejected => NextStep::Refuse(ForwardRefusal::ServersFull),
-        _ if may_repeat && runs_again => NextStep::Again,
+        _ if may_retry && is_repeatable => NextStep::Retry,
         AttemptEnd::Failed => NextStep::Relay,
         AttemptEnd::Lost => NextStep::Refuse(ForwardRefusal::AnswerLost),
         AttemptEnd::Silent => NextStep::Refuse(ForwardRefusal::TimedOut),
--- a/crates/guavawell-core/src/forward/charge.rs
+++ b/crates/guavawell-core/src/forward/charge.rs
@@ -14,7 +14,7 @@
     pub may_have_run: bool,
     /// A server was still silent when its time ran out: it may have been at work
     /// for all the time that the caller gave.
-    pub ran_out: bool,
+    pub timed_out: bool,
     /// Events of its answer that its caller got.
     pub delivered: u64,
 }
@@ -33,7 +33,7 @@
     /// Takes note of how an attempt ended.
     pub const fn note(&mut self, end: AttemptEnd) {
         if matches!(end, AttemptEnd::Silent) {
-            self.ran_out = true;
+            self.timed_out = true;
         }
     }
 
@@ -41,7 +41,7 @@
     /// caller left pays for what it consumed: it ended by the caller's act.
     #[must_use]
     pub const fn charge(self) -> RequestCharge {
-        if self.may_have_run && (self.ran_out || self.delivered > 0) {
+        if self.may_have_run && (self.timed_out || self.delivered > 0) {
             RequestCharge::Consumed
         } else {
             RequestCharge::Nothing
--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -7,11 +7,11 @@
 //! included.
 
 use crate::clock::ClockTime;
-use crate::forward::EngineFacts;
+use crate::forward::EngineLimits;
 use crate::forward::PromptPart;
 use crate::forward::ServerEntry;
 use crate::forward::ServerHealth;
-use crate::forward::ServerLife;
+use crate::forward::ServerIncarnation;
 use crate::forward::ServerPhase;
 use crate::forward::ServerTable;
 use crate::forward::TokenUsage;
@@ -22,51 +22,51 @@
 use crate::poison::RequestFingerprint;
 
 /// Cost of a server that is the last choice, beyond all other costs.
-const AVOIDED_MS: f64 = 1e6;
+const AVOIDED_COST_MS: f64 = 1e6;
 /// Cost of a server at which another suspect runs: less than that of one that
 /// probably does not answer.
-const SUSPECTS_MS: f64 = 1e5;
+const SUSPECT_COST_MS: f64 = 1e5;
 
 /// The weights of a choice. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChoiceSettings {
     /// Prompt tokens that an engine reads in a millisecond.
-    pub prefill_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// How much more a shared token that is read again counts than one that
     /// has to be read anyway: it takes capacity from all requests, not only
     /// time from this one.
-    pub reread_factor: f64,
+    pub repeated_prefill_factor: f64,
     /// Cost of each request that runs there, as a part of one full batch.
-    pub batch_ms: f64,
+    pub full_batch_ms: f64,
     /// Cost of each request that waits there beyond the slots.
-    pub waiting_ms: f64,
+    pub waiting_request_ms: f64,
     /// Cost of another availability zone, for a model engine.
-    pub zone_engine_ms: f64,
+    pub engine_zone_ms: f64,
     /// Cost of another availability zone, for a plain service.
-    pub zone_plain_ms: f64,
+    pub plain_zone_ms: f64,
     /// Cost of one request in flight against a plain server's slots.
-    pub plain_ms: f64,
+    pub plain_load_ms: f64,
     /// Cost of a server all of whose recent requests failed.
-    pub failure_ms: f64,
+    pub failure_rate_ms: f64,
     /// Failure rate beyond which a server is avoided while others can serve.
-    pub failure_limit: f64,
+    pub max_failure_rate: f64,
     /// Requests that may be held per slot before a server counts as full.
-    pub fill: f64,
+    pub max_requests_per_slot: f64,
 }
 
 impl Default for ChoiceSettings {
     fn default() -> Self {
         Self {
-            prefill_per_ms: 80.0,
-            reread_factor: 4.0,
-            batch_ms: 120.0,
-            waiting_ms: 40.0,
-            zone_engine_ms: 4.0,
-            zone_plain_ms: 15.0,
-            plain_ms: 60.0,
-            failure_ms: 600.0,
-            failure_limit: 0.35,
-            fill: 2.0,
+            prefill_tokens_per_ms: 80.0,
+            repeated_prefill_factor: 4.0,
+            full_batch_ms: 120.0,
+            waiting_request_ms: 40.0,
+            engine_zone_ms: 4.0,
+            plain_zone_ms: 15.0,
+            plain_load_ms: 60.0,
+            failure_rate_ms: 600.0,
+            max_failure_rate: 0.35,
+            max_requests_per_slot: 2.0,
         }
     }
 }
@@ -77,7 +77,7 @@
     /// The service.
     pub service: &'a ServiceId,
     /// What its engines hold; `None` for a plain service.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineLimits>,
     /// The caller's availability zone.
     pub zone: &'a ZoneId,
     /// The shared part that requests are brought together by.
@@ -87,7 +87,7 @@
     /// Tokens of the request.
     pub usage: TokenUsage,
     /// Servers that this request was sent to before.
-    pub tried: &'a [ServerLife],
+    pub tried: &'a [ServerIncarnation],
     /// The request, if servers have crashed under it. It goes where no other
     /// suspect runs, so that the next crash tells them apart.
     pub suspect: Option<RequestFingerprint>,
@@ -95,7 +95,7 @@
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChoiceRefusal {
+pub enum ChoiceError {
     /// No server of the service is known.
     Unknown,
     /// All of them are full.
@@ -108,9 +108,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerPick {
     /// The server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Prompt tokens that it probably has to read.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Chooses a server; the lowest cost wins.
@@ -123,41 +123,47 @@
     ask: &ChoiceAsk<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
-) -> Result<ServerPick, ChoiceRefusal> {
-    let fits = |entry: &&ServerEntry| {
+) -> Result<ServerPick, ChoiceError> {
+    let is_candidate = |entry: &&ServerEntry| {
         entry.service == *ask.service
             && entry.takes_requests(now)
-            && !ask.tried.contains(&entry.life)
+            && !ask.tried.contains(&entry.incarnation)
     };
-    let mut known: Vec<&ServerEntry> = table.servers().iter().filter(fits).collect();
-    if known.is_empty() {
-        return Err(ChoiceRefusal::Unknown);
+    let mut candidates: Vec<&ServerEntry> = table.servers().iter().filter(is_candidate).collect();
+    if candidates.is_empty() {
+        return Err(ChoiceError::Unknown);
     }
-    known.retain(|entry| !entry.is_paused(now));
-    if known.is_empty() {
-        return Err(ChoiceRefusal::Paused);
+    candidates.retain(|entry| !entry.is_paused(now));
+    if candidates.is_empty() {
+        return Err(ChoiceError::Paused);
     }
-    let home = home_server(&known, ask, now, settings);
-    let room = known
+    let preferred = preferred_server(&candidates, ask, now, settings);
+    let available = candidates
         .iter()
         .filter(|entry| has_room(entry, ask, now, settings));
     // Each cost is worked out once; comparing by a closure would do it twice
     // for every pair.
-    let costs = room.map(|entry| {
+    let costs = available.map(|entry| {
         let penalty = penalty_ms(entry, ask, now, settings);
-        let cost = cost_ms(entry, home == Some(&entry.life), ask, now, settings);
+        let cost = cost_ms(
+            entry,
+            preferred == Some(&entry.incarnation),
+            ask,
+            now,
+            settings,
+        );
         (penalty + cost, entry)
     });
     let best = costs.min_by(|(a, _), (b, _)| a.total_cmp(b));
-    let (_, best) = best.ok_or(ChoiceRefusal::Full)?;
-    let held = if home == Some(&best.life) {
+    let (_, best) = best.ok_or(ChoiceError::Full)?;
+    let cached = if preferred == Some(&best.incarnation) {
         ask.shared_tokens
     } else {
         0
     };
     Ok(ServerPick {
-        server: best.life.clone(),
-        unread_tokens: ask.usage.input.get().saturating_sub(held),
+        server: best.incarnation.clone(),
+        prefill_tokens: ask.usage.input.get().saturating_sub(cached),
     })
 }
 
@@ -168,37 +174,37 @@
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
-    let avoided = if is_avoided(entry, now, settings) {
-        AVOIDED_MS
+    let avoided_cost = if is_avoided(entry, now, settings) {
+        AVOIDED_COST_MS
     } else {
         0.0
     };
-    let others =
+    let is_other =
         |fingerprint: RequestFingerprint| entry.suspects.iter().any(|held| *held != fingerprint);
-    let beside = if ask.suspect.is_some_and(others) {
-        SUSPECTS_MS
+    let suspect_cost = if ask.suspect.is_some_and(is_other) {
+        SUSPECT_COST_MS
     } else {
         0.0
     };
-    avoided + beside
+    avoided_cost + suspect_cost
 }
 
 /// The server that all instances prefer for the shared part, or for a suspect.
-fn home_server<'a>(
-    known: &[&'a ServerEntry],
+fn preferred_server<'a>(
+    candidates: &[&'a ServerEntry],
     ask: &ChoiceAsk<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
-) -> Option<&'a ServerLife> {
+) -> Option<&'a ServerIncarnation> {
     let key = match ask.suspect {
         Some(fingerprint) => fingerprint.short(),
         None => ask.affinity?.id,
     };
-    let sound = known
+    let healthy = candidates
         .iter()
         .filter(|entry| !is_avoided(entry, now, settings));
-    let best = sound.max_by_key(|entry| rank(key, &entry.life.id))?;
-    Some(&best.life)
+    let best = healthy.max_by_key(|entry| rank(key, &entry.incarnation.id))?;
+    Some(&best.incarnation)
 }
 
 /// Whether a server is the last choice: unheard, failing or about to vanish.
@@ -207,7 +213,7 @@
     now < avoided_until
         || matches!(entry.phase, ServerPhase::Lapsed(_))
         || entry.silent(now)
-        || entry.failure_rate(now) > settings.failure_limit
+        || entry.failure_rate(now) > settings.max_failure_rate
 }
 
 fn has_room(
@@ -216,38 +222,46 @@
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> bool {
-    let most = f64::from(entry.slots) * settings.fill;
-    if f64::from(entry.load.estimate(now)) >= most.max(1.0) {
+    let max_requests = f64::from(entry.slots) * settings.max_requests_per_slot;
+    if f64::from(entry.load.estimate(now)) >= max_requests.max(1.0) {
         return false;
     }
     ask.engine.is_none_or(|engine| {
-        let held = entry.load.memory_tokens + ask.usage.worst_case().get();
-        entry.load.in_flight == 0 || held <= engine.memory.get()
+        let cache_tokens = entry.load.cache_tokens + ask.usage.worst_case().get();
+        entry.load.in_flight == 0 || cache_tokens <= engine.memory.get()
     })
 }
 
 fn cost_ms(
     entry: &ServerEntry,
-    home: bool,
+    preferred: bool,
     ask: &ChoiceAsk<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
     let estimate = f64::from(entry.load.estimate(now));
     let slots = f64::from(entry.slots.max(1));
-    let failure = settings.failure_ms * entry.failure_rate(now);
-    let near = entry.zone == *ask.zone;
+    let failure = settings.failure_rate_ms * entry.failure_rate(now);
+    let same_zone = entry.zone == *ask.zone;
     let Some(_) = ask.engine else {
-        let zone = if near { 0.0 } else { settings.zone_plain_ms };
-        return settings.plain_ms * estimate / slots + failure + zone;
+        let zone = if same_zone {
+            0.0
+        } else {
+            settings.plain_zone_ms
+        };
+        return settings.plain_load_ms * estimate / slots + failure + zone;
     };
-    let zone = if near { 0.0 } else { settings.zone_engine_ms };
-    let missing = if home { 0 } else { ask.shared_tokens };
-    let missing = fraction(missing) * settings.reread_factor;
-    let unread = (fraction(entry.load.unread_tokens) + missing) / settings.prefill_per_ms;
-    let batch = settings.batch_ms * (estimate / slots).min(1.0);
-    let waiting = settings.waiting_ms * (estimate - slots).max(0.0);
-    unread + batch + waiting + failure + zone
+    let zone = if same_zone {
+        0.0
+    } else {
+        settings.engine_zone_ms
+    };
+    let uncached = if preferred { 0 } else { ask.shared_tokens };
+    let uncached = fraction(uncached) * settings.repeated_prefill_factor;
+    let prefill = (fraction(entry.load.prefill_tokens) + uncached) / settings.prefill_tokens_per_ms;
+    let batch = settings.full_batch_ms * (estimate / slots).min(1.0);
+    let waiting = settings.waiting_request_ms * (estimate - slots).max(0.0);
+    prefill + batch + waiting + failure + zone
 }
 
 /// The weight of a server for a shared part: the same at every instance.
--- a/crates/guavawell-core/src/forward/congestion.rs
+++ b/crates/guavawell-core/src/forward/congestion.rs
@@ -18,21 +18,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CongestionSettings {
     /// A connection that takes longer waited in a queue.
-    pub slow: ClockSpan,
+    pub slow_connect: ClockSpan,
     /// How long there are only slow ones before the link counts as full: a
     /// burst that ends by itself sends nobody away.
-    pub after: ClockSpan,
+    pub full_after: ClockSpan,
     /// How long the last slow one tells of the link. Where nobody comes any
     /// more, the instance is ready again.
-    pub fresh: ClockSpan,
+    pub valid_for: ClockSpan,
 }
 
 impl Default for CongestionSettings {
     fn default() -> Self {
         Self {
-            slow: ClockSpan::from_millis(60),
-            after: ClockSpan::from_millis(1_500),
-            fresh: ClockSpan::from_millis(1_000),
+            slow_connect: ClockSpan::from_millis(60),
+            full_after: ClockSpan::from_millis(1_500),
+            valid_for: ClockSpan::from_millis(1_000),
         }
     }
 }
@@ -42,7 +42,7 @@
 pub struct LinkCongestion {
     settings: CongestionSettings,
     /// The first and the last slow connection since a quick one.
-    slow: Option<(ClockTime, ClockTime)>,
+    slow_streak: Option<(ClockTime, ClockTime)>,
 }
 
 impl LinkCongestion {
@@ -51,32 +51,36 @@
     pub const fn new(settings: CongestionSettings) -> Self {
         Self {
             settings,
-            slow: None,
+            slow_streak: None,
         }
     }
 
     /// A connection stood after a time, or was turned down.
     pub fn connected(&mut self, took: ClockSpan, now: ClockTime) {
-        let before = self.slow.filter(|(_, last)| self.is_fresh(*last, now));
+        let before = self
+            .slow_streak
+            .filter(|(_, last)| self.is_recent(*last, now));
         let first = before.map_or(now, |(first, _)| first);
-        self.slow = (took > self.settings.slow).then_some((first, now));
+        self.slow_streak = (took > self.settings.slow_connect).then_some((first, now));
     }
 
     /// A connection did not stand in time.
     pub fn late(&mut self, now: ClockTime) {
-        let slow = self.slow.filter(|(_, last)| self.is_fresh(*last, now));
-        self.slow = slow.map(|(first, _)| (first, now));
+        let streak = self
+            .slow_streak
+            .filter(|(_, last)| self.is_recent(*last, now));
+        self.slow_streak = streak.map(|(first, _)| (first, now));
     }
 
     /// Whether the link is full.
     #[must_use]
     pub fn is_full(&self, now: ClockTime) -> bool {
-        self.slow.is_some_and(|(first, last)| {
-            last.since(first) >= self.settings.after && self.is_fresh(last, now)
+        self.slow_streak.is_some_and(|(first, last)| {
+            last.since(first) >= self.settings.full_after && self.is_recent(last, now)
         })
     }
 
-    fn is_fresh(&self, last: ClockTime, now: ClockTime) -> bool {
-        now.since(last) < self.settings.fresh
+    fn is_recent(&self, last: ClockTime, now: ClockTime) -> bool {
+        now.since(last) < self.settings.valid_for
     }
 }
--- a/crates/guavawell-core/src/forward/life.rs
+++ b/crates/guavawell-core/src/forward/incarnation.rs
@@ -9,9 +9,9 @@
 /// When a backend server started, in milliseconds since the Unix epoch, by its
 /// own clock. Only compared with other starts of the same server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct BirthTime(u64);
+pub struct StartTime(u64);
 
-impl BirthTime {
+impl StartTime {
     /// Wraps milliseconds since the Unix epoch.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
@@ -19,13 +19,13 @@
     }
 }
 
-impl fmt::Display for BirthTime {
+impl fmt::Display for StartTime {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.0)
     }
 }
 
-impl FromStr for BirthTime {
+impl FromStr for StartTime {
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, ParseIntError> {
@@ -36,15 +36,15 @@
 /// One life of a backend server. A server may start again under the id that it
 /// had; it then holds nothing of what it held before.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ServerLife {
+pub struct ServerIncarnation {
     /// The server's id.
     pub id: BackendId,
     /// When this life began; `None` where servers do not tell. Such a life is
     /// taken for earlier than any that tells.
-    pub born: Option<BirthTime>,
+    pub born: Option<StartTime>,
 }
 
-impl fmt::Display for ServerLife {
+impl fmt::Display for ServerIncarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
             Some(born) => write!(formatter, "{}@{born}", self.id),
--- a/crates/guavawell-core/src/forward/pause.rs
+++ b/crates/guavawell-core/src/forward/pause.rs
@@ -7,7 +7,7 @@
 
 /// Longest pause that a server is given, whatever it asks for: one that is wrong
 /// about it would be lost to all until it starts again.
-const LONGEST_PAUSE: ClockSpan = ClockSpan::from_millis(120_000);
+const MAX_PAUSE: ClockSpan = ClockSpan::from_millis(120_000);
 /// Milliseconds of a second.
 const SECOND_MS: f64 = 1_000.0;
 
@@ -18,14 +18,14 @@
     #[error("`{0}` is no number of seconds, as in `1.5`")]
     Unreadable(Box<str>),
     /// Longer than any server is left alone.
-    #[error("`{0}` seconds are longer than {LONGEST_PAUSE}, which is kept to")]
+    #[error("`{0}` seconds are longer than {MAX_PAUSE}, which is kept to")]
     TooLong(Box<str>),
 }
 
 /// The pause that a server names in seconds, with fractions; none where it names
 /// none that can be read.
 #[must_use]
-pub fn read_pause(text: &str) -> (ClockSpan, Option<PauseError>) {
+pub fn parse_pause(text: &str) -> (ClockSpan, Option<PauseError>) {
     let text = text.trim();
     // Dates, signs, exponents and names of numbers are none.
     let plain = text
@@ -37,8 +37,8 @@
     };
     let millis = seconds * SECOND_MS;
     let pause = ClockSpan::from_millis(whole(millis.ceil()));
-    if pause > LONGEST_PAUSE {
-        return (LONGEST_PAUSE, Some(PauseError::TooLong(text.into())));
+    if pause > MAX_PAUSE {
+        return (MAX_PAUSE, Some(PauseError::TooLong(text.into())));
     }
     (pause, None)
 }
--- a/crates/guavawell-core/src/forward/prompt.rs
+++ b/crates/guavawell-core/src/forward/prompt.rs
@@ -71,8 +71,8 @@
     /// the last one that is not the request's own.
     #[must_use]
     pub fn affinity(&self) -> Option<PromptPart> {
-        let place = self.parts.len().saturating_sub(2);
-        self.parts.get(place).copied()
+        let index = self.parts.len().saturating_sub(2);
+        self.parts.get(index).copied()
     }
 
     /// Tokens of all parts that other requests may share.
--- a/crates/guavawell-core/src/forward/repeat.rs
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -12,11 +12,11 @@
 use crate::number::fraction;
 
 /// Slices that a window is counted in.
-const SLICES: u64 = 10;
+const SLICES_PER_WINDOW: u64 = 10;
 
 /// How much may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatSettings {
+pub struct RetryLimits {
     /// Repeats per request of a service.
     pub ratio: f64,
     /// Repeats of a service beyond the ratio, by the whole fleet.
@@ -27,59 +27,59 @@
     pub instances: usize,
     /// Part of the allowance that is used. The rest covers requests that were
     /// counted here in one window and judged in the next.
-    pub used_part: f64,
+    pub used_fraction: f64,
 }
 
-impl Default for RepeatSettings {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self {
             ratio: 0.2,
             extra: 50.0,
             window: ClockSpan::from_millis(10_000),
             instances: 6,
-            used_part: 0.75,
+            used_fraction: 0.75,
         }
     }
 }
 
 /// One instance's count of requests and repeats for each service.
 #[derive(Clone, Debug, Default)]
-pub struct RepeatAllowance {
+pub struct RetryAllowance {
     /// Sorted by service.
     services: Vec<(ServiceId, VecDeque<WindowSlice>)>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct WindowSlice {
-    began: ClockTime,
+    started_at: ClockTime,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-impl RepeatAllowance {
+impl RetryAllowance {
     /// Counts a request's first sending.
     pub fn count_request(&mut self, service: &ServiceId, now: ClockTime, window: ClockSpan) {
         self.slice(service, now, window).requests += 1;
     }
 
     /// Whether one repeat may be sent now; counts it if so.
-    pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RepeatSettings) -> bool {
+    pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RetryLimits) -> bool {
         self.slice(service, now, settings.window);
         let slices = self.slices(service);
         let requests: u32 = slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = slices.iter().map(|slice| slice.repeats).sum();
+        let retries: u32 = slices.iter().map(|slice| slice.retries).sum();
         let shared = settings.extra / fraction(settings.instances.max(1) as u64);
-        let most = settings.used_part * (settings.ratio * f64::from(requests) + shared);
-        if f64::from(repeats) + 1.0 > most {
+        let max_retries = settings.used_fraction * (settings.ratio * f64::from(requests) + shared);
+        if f64::from(retries) + 1.0 > max_retries {
             return false;
         }
-        self.slice(service, now, settings.window).repeats += 1;
+        self.slice(service, now, settings.window).retries += 1;
         true
     }
 
     fn slices(&self, service: &ServiceId) -> &VecDeque<WindowSlice> {
-        let place = self.services.binary_search_by(|(id, _)| id.cmp(service));
-        &self.services[place.expect("the slice was just made")].1
+        let index = self.services.binary_search_by(|(id, _)| id.cmp(service));
+        &self.services[index.expect("the slice was just made")].1
     }
 
     fn slice(
@@ -88,30 +88,30 @@
         now: ClockTime,
         window: ClockSpan,
     ) -> &mut WindowSlice {
-        let place = match self.services.binary_search_by(|(id, _)| id.cmp(service)) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.services.binary_search_by(|(id, _)| id.cmp(service)) {
+            Ok(index) => index,
+            Err(index) => {
                 let entry = (service.clone(), VecDeque::new());
-                self.services.insert(place, entry);
-                place
+                self.services.insert(index, entry);
+                index
             }
         };
-        let slices = &mut self.services[place].1;
+        let slices = &mut self.services[index].1;
         while slices
             .front()
-            .is_some_and(|slice| now.since(slice.began) > window)
+            .is_some_and(|slice| now.since(slice.started_at) > window)
         {
             slices.pop_front();
         }
-        let length = ClockSpan::from_millis(window.as_millis() / SLICES);
-        let fresh = slices
+        let length = ClockSpan::from_millis(window.as_millis() / SLICES_PER_WINDOW);
+        let is_current = slices
             .back()
-            .is_some_and(|slice| now.since(slice.began) < length);
-        if !fresh {
+            .is_some_and(|slice| now.since(slice.started_at) < length);
+        if !is_current {
             slices.push_back(WindowSlice {
-                began: now,
+                started_at: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         slices.back_mut().expect("a slice was just made")
--- a/crates/guavawell-core/src/forward/route.rs
+++ b/crates/guavawell-core/src/forward/route.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::clock::ClockSpan;
-use crate::forward::RepeatKind;
+use crate::forward::RetrySafety;
 use crate::id::OrganisationId;
 use crate::id::ServiceId;
 use crate::id::TokenCount;
@@ -53,7 +53,7 @@
     /// Where the requests go; never empty.
     pub shares: Box<[RouteShare]>,
     /// What may be repeated.
-    pub repeat: RepeatKind,
+    pub retry_safety: RetrySafety,
     /// The answer is a series of events.
     pub streaming: bool,
     /// Longest time that a request is kept.
@@ -74,12 +74,12 @@
     /// The service.
     pub id: ServiceId,
     /// What its model engines can hold; `None` for a plain service.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineLimits>,
 }
 
 /// What is known of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineFacts {
+pub struct EngineLimits {
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that running requests and kept prompts share.
@@ -120,25 +120,25 @@
     /// The organisation that holds a key.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&OrganisationEntry> {
-        let place = self.keys.binary_search_by(|(held, _)| (**held).cmp(key));
-        let (_, index) = self.keys.get(place.ok()?)?;
+        let found = self.keys.binary_search_by(|(held, _)| (**held).cmp(key));
+        let (_, index) = self.keys.get(found.ok()?)?;
         self.organisations.get(*index)
     }
 
     /// An organisation by its id.
     #[must_use]
     pub fn organisation_by_id(&self, id: &OrganisationId) -> Option<&OrganisationEntry> {
-        let place = self
+        let index = self
             .organisations
             .binary_search_by(|entry| entry.id.cmp(id));
-        self.organisations.get(place.ok()?)
+        self.organisations.get(index.ok()?)
     }
 
     /// A service by its id.
     #[must_use]
     pub fn service(&self, id: &ServiceId) -> Option<&ServiceEntry> {
-        let place = self.services.binary_search_by(|entry| entry.id.cmp(id));
-        self.services.get(place.ok()?)
+        let index = self.services.binary_search_by(|entry| entry.id.cmp(id));
+        self.services.get(index.ok()?)
     }
 
     /// Whether callers need a key on routes that are not public.
@@ -174,15 +174,15 @@
         let host = host.to_ascii_lowercase();
         let slashes = path.rmatch_indices('/');
         slashes
-            .map(|(place, _)| &path[..=place])
-            .find_map(|prefix| self.exact(&host, prefix))
+            .map(|(slash, _)| &path[..=slash])
+            .find_map(|prefix| self.find_exact(&host, prefix))
     }
 
-    fn exact(&self, host: &str, prefix: &str) -> Option<&Arc<RouteEntry>> {
-        let place = self
+    fn find_exact(&self, host: &str, prefix: &str) -> Option<&Arc<RouteEntry>> {
+        let index = self
             .routes
             .binary_search_by(|route| (&*route.host, &*route.prefix).cmp(&(host, prefix)));
-        self.routes.get(place.ok()?)
+        self.routes.get(index.ok()?)
     }
 }
 
@@ -195,21 +195,21 @@
             .any(|share| share.service == *service && (share.weight > 0 || self.shares.len() == 1))
     }
 
-    /// The service that a request goes to; `pick` is uniform over all `u64`.
+    /// The service that a request goes to; `draw` is uniform over all `u64`.
     #[must_use]
-    pub fn service(&self, pick: u64) -> &ServiceId {
+    pub fn service(&self, draw: u64) -> &ServiceId {
         let total: u64 = self
             .shares
             .iter()
             .map(|share| u64::from(share.weight))
             .sum();
-        let mut place = if total == 0 { 0 } else { pick % total };
+        let mut offset = if total == 0 { 0 } else { draw % total };
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if place < weight {
+            if offset < weight {
                 return &share.service;
             }
-            place -= weight;
+            offset -= weight;
         }
         &self.shares[0].service
     }
--- a/crates/guavawell-core/src/forward/server.rs
+++ b/crates/guavawell-core/src/forward/server.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
-use crate::forward::ServerLife;
+use crate::forward::ServerIncarnation;
 use crate::id::ServiceId;
 use crate::id::ZoneId;
 use crate::number::fraction;
@@ -13,24 +13,24 @@
 
 /// How long a server that has requests may stay silent before others go
 /// elsewhere. A busy engine sends events every 20 to 200 ms.
-const SILENCE: ClockSpan = ClockSpan::from_millis(700);
+const MAX_SILENCE: ClockSpan = ClockSpan::from_millis(700);
 /// First pause after a failure to connect; it doubles with each further one.
-const FIRST_PAUSE: u64 = 250;
+const FIRST_AVOID_MS: u64 = 250;
 /// Longest pause after failures to connect, in milliseconds.
-const LONGEST_PAUSE: u64 = 4_000;
+const MAX_AVOID_MS: u64 = 4_000;
 /// Weight of the newest outcome in the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.12;
 /// Time after which a failure rate counts half.
 const FAILURE_HALF_LIFE_MS: f64 = 2_500.0;
 /// Age up to which a load report counts in full.
-const REPORT_AGE: ClockSpan = ClockSpan::from_millis(1_500);
+const FRESH_REPORT_AGE: ClockSpan = ClockSpan::from_millis(1_500);
 /// Time after which an older report counts half. An instance of a large fleet
 /// hears from a server every ten seconds or so; where a popular prompt keeps one
 /// busy, an old report is a better guess than none.
 const REPORT_HALF_LIFE_MS: f64 = 8_000.0;
 
 /// The part of a figure that counts at an age, both times in milliseconds.
-fn remaining(age: f64, half_life: f64) -> f64 {
+fn decay(age: f64, half_life: f64) -> f64 {
     (-age / half_life * std::f64::consts::LN_2).exp()
 }
 
@@ -55,30 +55,34 @@
 pub struct LapseSettings {
     /// Time after the platform's last failure in which an entry may come back:
     /// two seconds after its return, and the pause until that is noticed.
-    pub back_within: ClockSpan,
+    pub outage_grace: ClockSpan,
     /// Longest time from when the entry was missed: with the delay of the feed
     /// it stays within the three seconds that a leaving server still serves.
-    pub most: ClockSpan,
+    pub max_lapse: ClockSpan,
 }
 
 impl Default for LapseSettings {
     fn default() -> Self {
         Self {
-            back_within: ClockSpan::from_millis(2_200),
-            most: ClockSpan::from_millis(1_700),
+            outage_grace: ClockSpan::from_millis(2_200),
+            max_lapse: ClockSpan::from_millis(1_700),
         }
     }
 }
 
 impl LapseSettings {
-    /// The phase of a server whose entry vanished now, `trouble` being when
+    /// The phase of a server whose entry vanished now, `last_outage` being when
     /// the platform last failed to answer.
     #[must_use]
-    pub fn vanished(&self, now: ClockTime, trouble: Option<ClockTime>) -> ServerPhase {
-        let Some(trouble) = trouble else {
+    pub fn phase_after_removal(
+        &self,
+        now: ClockTime,
+        last_outage: Option<ClockTime>,
+    ) -> ServerPhase {
+        let Some(last_outage) = last_outage else {
             return ServerPhase::Leaving;
         };
-        let until = (trouble + self.back_within).min(now + self.most);
+        let until = (last_outage + self.outage_grace).min(now + self.max_lapse);
         if until > now {
             ServerPhase::Lapsed(until)
         } else {
@@ -93,9 +97,9 @@
     /// Requests of this instance that the server holds.
     pub in_flight: u32,
     /// Their prompt tokens that the server has yet to read.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Their tokens in the server's memory, at their most.
-    pub memory_tokens: u64,
+    pub cache_tokens: u64,
     /// Requests that ran at the server, from all callers, when it last told.
     pub running: u32,
     /// Requests that waited there.
@@ -115,8 +119,8 @@
         };
         let others = (self.running + self.waiting).saturating_sub(self.own_at_report);
         let age = now.since(reported_at).as_millis();
-        let old = fraction(age.saturating_sub(REPORT_AGE.as_millis()));
-        let others = whole(f64::from(others) * remaining(old, REPORT_HALF_LIFE_MS));
+        let old = fraction(age.saturating_sub(FRESH_REPORT_AGE.as_millis()));
+        let others = whole(f64::from(others) * decay(old, REPORT_HALF_LIFE_MS));
         self.in_flight + u32::try_from(others).unwrap_or(u32::MAX)
     }
 }
@@ -126,9 +130,9 @@
 pub struct ServerHealth {
     /// When a byte of it was last received, or a first request was sent to it
     /// while it was idle.
-    pub heard_at: ClockTime,
+    pub last_received_at: ClockTime,
     /// Failures to connect since the last success.
-    pub refused: u32,
+    pub connect_failures: u32,
     /// No requests before this time while others can serve.
     pub avoided_until: ClockTime,
     /// No requests before this time at all: the server asked for it. It is not
@@ -144,7 +148,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
     /// Which life of which server this is.
-    pub life: ServerLife,
+    pub incarnation: ServerIncarnation,
     /// Its service.
     pub service: ServiceId,
     /// Where it listens.
@@ -157,7 +161,7 @@
     pub phase: ServerPhase,
     /// Whether it said itself that it leaves, so that nothing told later, and
     /// nothing older, makes it ready again.
-    pub said_leaving: bool,
+    pub announced_leaving: bool,
     /// Its load.
     pub load: LoadFigures,
     /// Its health.
@@ -169,20 +173,20 @@
 
 impl ServerEntry {
     /// Counts a request that is about to be sent.
-    pub fn begin(&mut self, now: ClockTime, unread_tokens: u64, memory_tokens: u64) {
+    pub fn begin(&mut self, now: ClockTime, prefill_tokens: u64, cache_tokens: u64) {
         if self.load.in_flight == 0 {
-            self.health.heard_at = now;
+            self.health.last_received_at = now;
         }
         self.load.in_flight += 1;
-        self.load.unread_tokens += unread_tokens;
-        self.load.memory_tokens += memory_tokens;
+        self.load.prefill_tokens += prefill_tokens;
+        self.load.cache_tokens += cache_tokens;
     }
 
     /// Takes a request out again.
-    pub fn finish(&mut self, unread_tokens: u64, memory_tokens: u64) {
+    pub fn finish(&mut self, prefill_tokens: u64, cache_tokens: u64) {
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
-        self.load.unread_tokens = self.load.unread_tokens.saturating_sub(unread_tokens);
-        self.load.memory_tokens = self.load.memory_tokens.saturating_sub(memory_tokens);
+        self.load.prefill_tokens = self.load.prefill_tokens.saturating_sub(prefill_tokens);
+        self.load.cache_tokens = self.load.cache_tokens.saturating_sub(cache_tokens);
     }
 
     /// Notes the load that came with an answer.
@@ -200,15 +204,15 @@
         self.health.failure_rate = before + OUTCOME_WEIGHT * (outcome - before);
         self.health.rated_at = now;
         if !failed {
-            self.health.refused = 0;
+            self.health.connect_failures = 0;
         }
     }
 
     /// Notes that no connection was to be had.
-    pub fn refuse(&mut self, now: ClockTime) {
-        let doubled = FIRST_PAUSE << self.health.refused.min(5);
-        let pause = ClockSpan::from_millis(doubled.min(LONGEST_PAUSE));
-        self.health.refused += 1;
+    pub fn record_connect_failure(&mut self, now: ClockTime) {
+        let doubled = FIRST_AVOID_MS << self.health.connect_failures.min(5);
+        let pause = ClockSpan::from_millis(doubled.min(MAX_AVOID_MS));
+        self.health.connect_failures += 1;
         self.health.avoided_until = now + pause;
     }
 
@@ -216,28 +220,28 @@
     #[must_use]
     pub fn failure_rate(&self, now: ClockTime) -> f64 {
         let age = fraction(now.since(self.health.rated_at).as_millis());
-        self.health.failure_rate * remaining(age, FAILURE_HALF_LIFE_MS)
+        self.health.failure_rate * decay(age, FAILURE_HALF_LIFE_MS)
     }
 
     /// Whether the server has requests of this instance and says nothing.
     #[must_use]
     pub fn silent(&self, now: ClockTime) -> bool {
-        self.load.in_flight > 0 && now.since(self.health.heard_at) > SILENCE
+        self.load.in_flight > 0 && now.since(self.health.last_received_at) > MAX_SILENCE
     }
 
     /// The server said that it leaves; false if that was known.
-    pub fn say_leaving(&mut self) -> bool {
-        let known = std::mem::replace(&mut self.said_leaving, true);
+    pub fn record_leaving(&mut self) -> bool {
+        let was_known = std::mem::replace(&mut self.announced_leaving, true);
         self.phase = ServerPhase::Leaving;
-        !known
+        !was_known
     }
 
     /// The server wants no requests for a time; false if it did not before that
     /// time's end already.
     pub fn pause(&mut self, now: ClockTime, span: ClockSpan) -> bool {
-        let fresh = !self.is_paused(now);
+        let newly_paused = !self.is_paused(now);
         self.health.paused_until = self.health.paused_until.max(now + span);
-        fresh
+        newly_paused
     }
 
     /// Whether the server wants no requests now.
@@ -247,8 +251,8 @@
     }
 
     /// Takes in a new listing of the same life.
-    pub(super) fn take_listing(&mut self, entry: Self) {
-        self.said_leaving |= entry.said_leaving;
+    pub(super) fn update_listing(&mut self, entry: Self) {
+        self.announced_leaving |= entry.announced_leaving;
         if self.phase != ServerPhase::Leaving {
             self.phase = entry.phase;
         }
--- a/crates/guavawell-core/src/forward/table.rs
+++ b/crates/guavawell-core/src/forward/table.rs
@@ -5,7 +5,7 @@
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::forward::ServerEntry;
-use crate::forward::ServerLife;
+use crate::forward::ServerIncarnation;
 use crate::forward::ServerPhase;
 use crate::id::BackendId;
 use crate::id::ServiceId;
@@ -13,16 +13,16 @@
 /// Lives of forgotten servers that are remembered, so that a late entry of one
 /// that was succeeded, or that left, is not taken for a new server: about ten
 /// times the servers that a fleet sees start again in a minute.
-const MAX_FORMER: usize = 256;
+const MAX_FORGOTTEN: usize = 256;
 
 /// The newest life of a server that was forgotten.
 #[derive(Clone, Debug)]
-struct FormerLife {
-    life: ServerLife,
+struct ForgottenServer {
+    incarnation: ServerIncarnation,
     /// Whether it said that it leaves.
-    said_leaving: bool,
+    announced_leaving: bool,
     /// Counts up with each life that is forgotten.
-    turn: u64,
+    sequence: u64,
 }
 
 /// All backend servers, sorted by id: the newest life of each.
@@ -30,9 +30,9 @@
 pub struct ServerTable {
     servers: Vec<ServerEntry>,
     /// The newest lives of servers that were forgotten, sorted by id.
-    former: Vec<FormerLife>,
+    forgotten: Vec<ForgottenServer>,
     /// Lives that were forgotten so far.
-    turns: u64,
+    forgotten_count: u64,
 }
 
 impl ServerTable {
@@ -45,21 +45,22 @@
     /// The newest life of a server.
     #[must_use]
     pub fn newest(&self, id: &BackendId) -> Option<&ServerEntry> {
-        let place = self.find(id);
-        self.servers.get(place.ok()?)
+        let index = self.find(id);
+        self.servers.get(index.ok()?)
     }
 
     /// A life of a server, unless a later one has begun.
     #[must_use]
-    pub fn get(&self, life: &ServerLife) -> Option<&ServerEntry> {
-        self.newest(&life.id).filter(|entry| entry.life == *life)
+    pub fn get(&self, incarnation: &ServerIncarnation) -> Option<&ServerEntry> {
+        self.newest(&incarnation.id)
+            .filter(|entry| entry.incarnation == *incarnation)
     }
 
     /// A life of a server, to be changed; `None` once a later one has begun.
-    pub fn get_mut(&mut self, life: &ServerLife) -> Option<&mut ServerEntry> {
-        let place = self.find(&life.id).ok()?;
-        let entry = &mut self.servers[place];
-        (entry.life == *life).then_some(entry)
+    pub fn get_mut(&mut self, incarnation: &ServerIncarnation) -> Option<&mut ServerEntry> {
+        let index = self.find(&incarnation.id).ok()?;
+        let entry = &mut self.servers[index];
+        (entry.incarnation == *incarnation).then_some(entry)
     }
 
     /// Takes in what the platform lists of a server, and returns the life that
@@ -68,27 +69,27 @@
     /// A known life keeps its load and health, and one that leaves never comes
     /// back as ready. A later life begins with nothing; what is told of an
     /// earlier one changes nothing.
-    pub fn upsert(&mut self, entry: ServerEntry) -> Option<ServerLife> {
-        let place = match self.find(&entry.life.id) {
-            Ok(place) => place,
-            Err(place) => {
-                if !self.is_over(&entry.life) {
-                    self.servers.insert(place, entry);
+    pub fn upsert(&mut self, entry: ServerEntry) -> Option<ServerIncarnation> {
+        let index = match self.find(&entry.incarnation.id) {
+            Ok(index) => index,
+            Err(index) => {
+                if !self.has_ended(&entry.incarnation) {
+                    self.servers.insert(index, entry);
                 }
                 return None;
             }
         };
-        let held = &mut self.servers[place];
-        match entry.life.born.cmp(&held.life.born) {
+        let existing = &mut self.servers[index];
+        match entry.incarnation.born.cmp(&existing.incarnation.born) {
             // Servers that tell their birth always do: not its own entry.
-            Ordering::Less if entry.life.born.is_none() => {
-                held.end_listing(ServerPhase::Unreadable);
+            Ordering::Less if entry.incarnation.born.is_none() => {
+                existing.end_listing(ServerPhase::Unreadable);
                 None
             }
             Ordering::Less => None,
-            Ordering::Greater => Some(std::mem::replace(held, entry).life),
+            Ordering::Greater => Some(std::mem::replace(existing, entry).incarnation),
             Ordering::Equal => {
-                held.take_listing(entry);
+                existing.update_listing(entry);
                 None
             }
         }
@@ -96,8 +97,8 @@
 
     /// A server is no longer listed, or not readably. It is dropped once
     /// nothing runs there.
-    pub fn remove(&mut self, life: &ServerLife, phase: ServerPhase) {
-        if let Some(entry) = self.get_mut(life) {
+    pub fn remove(&mut self, incarnation: &ServerIncarnation, phase: ServerPhase) {
+        if let Some(entry) = self.get_mut(incarnation) {
             entry.end_listing(phase);
         }
     }
@@ -108,52 +109,56 @@
     pub fn resumes_in(&self, service: &ServiceId, now: ClockTime) -> Option<ClockSpan> {
         let serves = |entry: &&ServerEntry| entry.service == *service && entry.takes_requests(now);
         let pauses = self.servers.iter().filter(serves);
-        let soonest = pauses.map(|entry| entry.health.paused_until).min()?;
-        Some(soonest.since(now)).filter(|span| *span > ClockSpan::ZERO)
+        let earliest = pauses.map(|entry| entry.health.paused_until).min()?;
+        Some(earliest.since(now)).filter(|span| *span > ClockSpan::ZERO)
     }
 
     /// Forgets servers that left and hold no request of this instance.
     pub fn sweep(&mut self, now: ClockTime) {
-        let gone =
+        let is_removable =
             |entry: &mut ServerEntry| !entry.takes_requests(now) && entry.load.in_flight == 0;
-        let forgotten: Vec<ServerEntry> = self.servers.extract_if(.., gone).collect();
-        for entry in forgotten {
+        let removed: Vec<ServerEntry> = self.servers.extract_if(.., is_removable).collect();
+        for entry in removed {
             self.remember(entry);
         }
     }
 
     /// Whether a forgotten life is not to come back: a later one is known, or it
     /// said that it leaves.
-    fn is_over(&self, life: &ServerLife) -> bool {
-        let Ok(place) = self.find_former(&life.id) else {
+    fn has_ended(&self, incarnation: &ServerIncarnation) -> bool {
+        let Ok(index) = self.find_forgotten(&incarnation.id) else {
             return false;
         };
-        let held = &self.former[place];
-        held.life.born > life.born || (held.life == *life && held.said_leaving)
+        let existing = &self.forgotten[index];
+        existing.incarnation.born > incarnation.born
+            || (existing.incarnation == *incarnation && existing.announced_leaving)
     }
 
     fn remember(&mut self, entry: ServerEntry) {
-        self.turns += 1;
-        let former = FormerLife {
-            life: entry.life,
-            said_leaving: entry.said_leaving,
-            turn: self.turns,
+        self.forgotten_count += 1;
+        let forgotten = ForgottenServer {
+            incarnation: entry.incarnation,
+            announced_leaving: entry.announced_leaving,
+            sequence: self.forgotten_count,
         };
-        match self.find_former(&former.life.id) {
-            Ok(place) => self.former[place] = former,
-            Err(place) => self.former.insert(place, former),
+        match self.find_forgotten(&forgotten.incarnation.id) {
+            Ok(index) => self.forgotten[index] = forgotten,
+            Err(index) => self.forgotten.insert(index, forgotten),
         }
-        if self.former.len() > MAX_FORMER {
-            let eldest = (0..self.former.len()).min_by_key(|place| self.former[*place].turn);
-            eldest.map(|place| self.former.remove(place));
+        if self.forgotten.len() > MAX_FORGOTTEN {
+            let oldest =
+                (0..self.forgotten.len()).min_by_key(|index| self.forgotten[*index].sequence);
+            oldest.map(|index| self.forgotten.remove(index));
         }
     }
 
-    fn find_former(&self, id: &BackendId) -> Result<usize, usize> {
-        self.former.binary_search_by(|held| held.life.id.cmp(id))
+    fn find_forgotten(&self, id: &BackendId) -> Result<usize, usize> {
+        self.forgotten
+            .binary_search_by(|existing| existing.incarnation.id.cmp(id))
     }
 
     fn find(&self, id: &BackendId) -> Result<usize, usize> {
-        self.servers.binary_search_by(|entry| entry.life.id.cmp(id))
+        self.servers
+            .binary_search_by(|entry| entry.incarnation.id.cmp(id))
     }
 }
--- a/crates/guavawell-core/src/forward/belief.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -32,55 +32,57 @@
 
 /// What follows from something that was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BeliefStep {
+pub enum ConfigAction {
     /// It comes into force.
-    Take,
+    Apply,
     /// What is in force stays.
     Keep,
     /// What is in force was told by another instance, and the store has no such
     /// version: back to what the store told last.
-    Disown,
+    Revert,
 }
 
 /// The version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct HeldVersion {
+struct CurrentVersion {
     version: u64,
     source: ConfigSource,
     /// When it came into force here.
-    taken_at: ClockTime,
+    applied_at: ClockTime,
 }
 
 /// What an instance knows of the configuration's version. Times are of a clock
 /// that counts suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ConfigBelief {
-    held: Option<HeldVersion>,
+pub struct ConfigTracker {
+    current: Option<CurrentVersion>,
     /// The newest version that the store told this process.
-    stored: Option<u64>,
+    newest_stored: Option<u64>,
     /// How long ago no newer version than the held one existed.
     age: FeedAge,
     /// Revision of the newest row of the store that could not be read.
-    unreadable: Option<u64>,
+    unreadable_revision: Option<u64>,
     /// Revision of the newest one that could.
-    readable: Option<u64>,
+    readable_revision: Option<u64>,
     /// A version that the store did not have.
-    disowned: Option<u64>,
+    rejected: Option<u64>,
 }
 
-impl ConfigBelief {
+impl ConfigTracker {
     /// The version in force.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
-        self.held.map(|held| held.version)
+        self.current.map(|current| current.version)
     }
 
     /// The version that may be told to other instances: one that the store told
     /// this process. A false one reaches nobody else.
     #[must_use]
-    pub fn proved_version(&self) -> Option<u64> {
-        let proved = self.held.filter(|held| held.source == ConfigSource::Store);
-        proved.map(|held| held.version)
+    pub fn confirmed_version(&self) -> Option<u64> {
+        let confirmed = self
+            .current
+            .filter(|current| current.source == ConfigSource::Store);
+        confirmed.map(|current| current.version)
     }
 
     /// For how long newer versions may exist without being known here.
@@ -97,102 +99,109 @@
     /// Whether another instance that speaks of a version knows more.
     #[must_use]
     pub fn is_behind(&self, version: u64) -> bool {
-        self.disowned != Some(version) && self.version().is_none_or(|held| held < version)
+        self.rejected != Some(version) && self.version().is_none_or(|current| current < version)
     }
 
     /// The store answered a question sent at `asked` with a version, in a row of
     /// the given revision.
-    pub fn store_told(
+    pub fn store_answered(
         &mut self,
         version: u64,
         revision: u64,
         asked: ClockTime,
         now: ClockTime,
-    ) -> BeliefStep {
-        self.readable = self.readable.max(Some(revision));
-        self.store_has(version, asked, now)
+    ) -> ConfigAction {
+        self.readable_revision = self.readable_revision.max(Some(revision));
+        self.confirm_version(version, asked, now)
     }
 
-    fn store_has(&mut self, version: u64, asked: ClockTime, now: ClockTime) -> BeliefStep {
-        self.stored = self.stored.max(Some(version));
-        let Some(held) = self.held.filter(|held| held.version >= version) else {
-            return self.take(version, ConfigSource::Store, asked, now);
+    fn confirm_version(&mut self, version: u64, asked: ClockTime, now: ClockTime) -> ConfigAction {
+        self.newest_stored = self.newest_stored.max(Some(version));
+        let Some(current) = self.current.filter(|current| current.version >= version) else {
+            return self.apply(version, ConfigSource::Store, asked, now);
         };
-        if held.version == version {
-            self.hold(version, ConfigSource::Store, held.taken_at);
-        } else if held.source == ConfigSource::Instance && asked > held.taken_at {
+        if current.version == version {
+            self.set_current(version, ConfigSource::Store, current.applied_at);
+        } else if current.source == ConfigSource::Instance && asked > current.applied_at {
             // The store had it no later than whoever told it.
-            return self.disown(held, asked, now);
+            return self.revert(current, asked, now);
         }
         self.age.check(asked);
-        BeliefStep::Keep
+        ConfigAction::Keep
     }
 
     /// The store answered a question sent at `asked`: nothing has changed since
     /// its answer before.
-    pub fn store_unchanged(&mut self, asked: ClockTime, now: ClockTime) -> BeliefStep {
-        match self.stored {
-            Some(version) if self.unreadable < self.readable => self.store_has(version, asked, now),
-            _ => BeliefStep::Keep,
+    pub fn store_unchanged(&mut self, asked: ClockTime, now: ClockTime) -> ConfigAction {
+        match self.newest_stored {
+            Some(version) if self.unreadable_revision < self.readable_revision => {
+                self.confirm_version(version, asked, now)
+            }
+            _ => ConfigAction::Keep,
         }
     }
 
     /// The store answered with a row that cannot be read: what is in force is not
     /// the newest.
     pub fn store_unreadable(&mut self, revision: u64) {
-        self.unreadable = self.unreadable.max(Some(revision));
+        self.unreadable_revision = self.unreadable_revision.max(Some(revision));
     }
 
     /// Another instance answered a question sent at `asked` with a version that
     /// it had from the store, and that was the newest `age` before.
-    pub fn instance_told(
+    pub fn instance_answered(
         &mut self,
         version: u64,
         age: ClockSpan,
         asked: ClockTime,
         now: ClockTime,
-    ) -> BeliefStep {
-        let checked = asked.as_millis().saturating_sub(age.as_millis());
-        let checked = ClockTime::from_millis(checked);
+    ) -> ConfigAction {
+        let confirmed_at = asked.as_millis().saturating_sub(age.as_millis());
+        let confirmed_at = ClockTime::from_millis(confirmed_at);
         if self.is_behind(version) {
-            return self.take(version, ConfigSource::Instance, checked, now);
+            return self.apply(version, ConfigSource::Instance, confirmed_at, now);
         }
         if self.version() == Some(version) {
-            self.age.check_through_others(checked);
+            self.age.check_by_instance(confirmed_at);
         }
-        BeliefStep::Keep
+        ConfigAction::Keep
     }
 
-    fn take(
+    fn apply(
         &mut self,
         version: u64,
         source: ConfigSource,
-        checked: ClockTime,
+        confirmed_at: ClockTime,
         now: ClockTime,
-    ) -> BeliefStep {
-        self.hold(version, source, now);
+    ) -> ConfigAction {
+        self.set_current(version, source, now);
         match source {
-            ConfigSource::Store => self.age.check(checked),
-            ConfigSource::Instance => self.age.check_through_others(checked),
+            ConfigSource::Store => self.age.check(confirmed_at),
+            ConfigSource::Instance => self.age.check_by_instance(confirmed_at),
         }
-        BeliefStep::Take
+        ConfigAction::Apply
     }
 
-    fn disown(&mut self, held: HeldVersion, asked: ClockTime, now: ClockTime) -> BeliefStep {
-        self.disowned = Some(held.version);
-        self.held = None;
-        if let Some(version) = self.stored {
-            self.hold(version, ConfigSource::Store, now);
+    fn revert(
+        &mut self,
+        current: CurrentVersion,
+        asked: ClockTime,
+        now: ClockTime,
+    ) -> ConfigAction {
+        self.rejected = Some(current.version);
+        self.current = None;
+        if let Some(version) = self.newest_stored {
+            self.set_current(version, ConfigSource::Store, now);
         }
         self.age = FeedAge::checked(asked);
-        BeliefStep::Disown
+        ConfigAction::Revert
     }
 
-    fn hold(&mut self, version: u64, source: ConfigSource, taken_at: ClockTime) {
-        self.held = Some(HeldVersion {
+    fn set_current(&mut self, version: u64, source: ConfigSource, applied_at: ClockTime) {
+        self.current = Some(CurrentVersion {
             version,
             source,
-            taken_at,
+            applied_at,
         });
     }
 }
--- a/crates/guavawell-core/src/poison/server.rs
+++ b/crates/guavawell-core/src/poison/server.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::forward::ServerLife;
+use crate::forward::ServerIncarnation;
 
 /// Servers that are remembered for one request: as many as convict it.
 const REMEMBERED: usize = 3;
@@ -17,7 +17,7 @@
 impl ServerTag {
     /// The tag of a server's life.
     #[must_use]
-    pub fn of(life: &ServerLife) -> Self {
+    pub fn of(life: &ServerIncarnation) -> Self {
         let hash = blake3::hash(life.to_string().as_bytes());
         let [first, second, third, fourth, ..] = *hash.as_bytes();
         // Zero stands for no server.
--- a/crates/guavawell-core/tests/config_belief/main.rs
+++ b/crates/guavawell-core/tests/config_belief/main.rs
@@ -6,7 +6,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ConfigBelief;
+use guavawell_core::forward::ConfigTracker;
 
 use world::Plant;
 use world::World;
@@ -63,8 +63,8 @@
 
 #[test]
 fn after_a_pause_requests_wait_until_a_question_sent_since_is_answered() {
-    let mut belief = ConfigBelief::default();
-    belief.store_told(1, 1, at(1_000), at(1_005));
+    let mut belief = ConfigTracker::default();
+    belief.store_answered(1, 1, at(1_000), at(1_005));
     assert!(!belief.age().is_awaited(OVERDUE, at(2_000)));
     // The process does not run from 1,010 to 5,000; the answer to the question
     // from before is read first.
@@ -77,8 +77,8 @@
 
 #[test]
 fn while_the_store_is_known_to_be_away_no_request_waits() {
-    let mut belief = ConfigBelief::default();
-    belief.store_told(1, 1, at(1_000), at(1_005));
+    let mut belief = ConfigTracker::default();
+    belief.store_answered(1, 1, at(1_000), at(1_005));
     // The process ran, and the next question has no answer when it should.
     belief.age_mut().unanswered(at(1_505), DUE, at(2_255));
     assert!(!belief.age().is_awaited(OVERDUE, at(3_000)));
@@ -86,26 +86,26 @@
     // It is back, and lost again later; the first wait then is in vain.
     belief.store_unchanged(at(90_000), at(90_005));
     assert!(belief.age().is_awaited(OVERDUE, at(93_000)));
-    belief.age_mut().waited_in_vain();
+    belief.age_mut().wait_timed_out();
     assert!(!belief.age().is_awaited(OVERDUE, at(93_000)));
 }
 
 #[test]
 fn what_others_knew_last_has_nobody_wait_for_a_store_that_is_away() {
-    let mut belief = ConfigBelief::default();
-    belief.store_told(1, 1, at(1_000), at(1_005));
+    let mut belief = ConfigTracker::default();
+    belief.store_answered(1, 1, at(1_000), at(1_005));
     belief.age_mut().unanswered(at(1_505), DUE, at(2_255));
     // Another instance had its last answer a little later.
     let age = ClockSpan::from_millis(2_700);
-    belief.instance_told(1, age, at(4_000), at(4_005));
+    belief.instance_answered(1, age, at(4_000), at(4_005));
     assert_eq!(belief.age().at(at(4_000)), Some(age));
     assert!(!belief.age().is_awaited(OVERDUE, at(4_005)));
 }
 
 #[test]
 fn a_question_that_nobody_listened_for_says_nothing_of_the_store() {
-    let mut belief = ConfigBelief::default();
-    belief.store_told(1, 1, at(1_000), at(1_005));
+    let mut belief = ConfigTracker::default();
+    belief.store_answered(1, 1, at(1_000), at(1_005));
     // The process does not run from 1,600 to 5,000.
     belief.age_mut().unanswered(at(1_505), DUE, at(5_000));
     assert!(belief.age().is_awaited(OVERDUE, at(5_000)));
--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -3,8 +3,8 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BeliefStep;
-use guavawell_core::forward::ConfigBelief;
+use guavawell_core::forward::ConfigAction;
+use guavawell_core::forward::ConfigTracker;
 
 /// Instances that keep to the rules.
 const INSTANCES: usize = 3;
@@ -61,7 +61,7 @@
 /// One instance.
 #[derive(Default)]
 struct Follower {
-    belief: ConfigBelief,
+    belief: ConfigTracker,
     life: u32,
     /// The last version that the store told this life, readable or not.
     since: Option<u64>,
@@ -185,7 +185,7 @@
         let belief = &self.followers[whom].belief;
         let version = match self.plant {
             Plant::HandsOnHearsay => belief.version(),
-            _ => belief.proved_version(),
+            _ => belief.confirmed_version(),
         };
         Some(ToldAnswer::Instance(version?, belief.age().at(self.now)?))
     }
@@ -212,9 +212,9 @@
             _ => question.asked,
         };
         let belief = &mut follower.belief;
-        let tell = |belief: &mut ConfigBelief, row: StoredVersion, asked| {
+        let tell = |belief: &mut ConfigTracker, row: StoredVersion, asked| {
             // Versions rise with the rows that hold them.
-            belief.store_told(row.version, row.version, asked, now)
+            belief.store_answered(row.version, row.version, asked, now)
         };
         let step = match question.answer.expect("an answer") {
             ToldAnswer::Row(row) => {
@@ -222,8 +222,8 @@
                 match row.readable {
                     true if plant == Plant::TakesOlder => {
                         let step = tell(belief, row, asked);
-                        if step == BeliefStep::Keep {
-                            *belief = ConfigBelief::default();
+                        if step == ConfigAction::Keep {
+                            *belief = ConfigTracker::default();
                             tell(belief, row, asked);
                         }
                         step
@@ -233,26 +233,28 @@
                         tell(belief, row, ClockTime::default())
                     }
                     true => tell(belief, row, asked),
-                    false if plant == Plant::PassesOverUnreadable => BeliefStep::Keep,
+                    false if plant == Plant::PassesOverUnreadable => ConfigAction::Keep,
                     false => {
                         belief.store_unreadable(row.version);
-                        BeliefStep::Keep
+                        ConfigAction::Keep
                     }
                 }
             }
             ToldAnswer::Unchanged => belief.store_unchanged(asked, now),
-            ToldAnswer::Instance(version, age) => belief.instance_told(version, age, asked, now),
+            ToldAnswer::Instance(version, age) => {
+                belief.instance_answered(version, age, asked, now)
+            }
         };
         self.judge(question, step);
     }
 
     /// Looks at what an answer did.
-    fn judge(&mut self, question: &OpenQuestion, step: BeliefStep) {
+    fn judge(&mut self, question: &OpenQuestion, step: ConfigAction) {
         let stored = &self.stored;
         let exists = |version: u64| stored.iter().any(|held| held.version == version);
         let follower = &mut self.followers[question.instance];
         let version = follower.belief.version();
-        if step == BeliefStep::Disown {
+        if step == ConfigAction::Revert {
             if follower.highest.is_some_and(exists) {
                 follower.broken = Some("a version that the store has was disowned".into());
             }
@@ -286,13 +288,14 @@
             }
             let belief = &follower.belief;
             let is_false = |version: u64| version & FALSE_BIT != 0;
-            if belief.proved_version().is_some_and(is_false) {
+            if belief.confirmed_version().is_some_and(is_false) {
                 return told("a false version counts as the store's");
             }
             if belief.version().is_some_and(is_false) && !follower.was_misled {
                 return told("a false version came on from an instance that heard it");
             }
-            let (Some(version), Some(age)) = (belief.proved_version(), belief.age().at(self.now))
+            let (Some(version), Some(age)) =
+                (belief.confirmed_version(), belief.age().at(self.now))
             else {
                 continue;
             };
--- a/crates/guavawell-core/tests/forward/choice.rs
+++ b/crates/guavawell-core/tests/forward/choice.rs
@@ -21,7 +21,7 @@
     let table = table(18);
     let home = choose(&table, DRAFT, START).expect("a server");
     assert_eq!(choose(&table, DRAFT, START), Some(home.clone()));
-    assert_eq!(home.unread_tokens, 7_000);
+    assert_eq!(home.prefill_tokens, 7_000);
     let mut homes: Vec<_> = (0..200)
         .filter_map(|part| choose(&table, Ask { part, ..DRAFT }, START))
         .map(|pick| pick.server)
@@ -69,7 +69,7 @@
         match fault {
             0 => entry.begin(START, 10, 10),
             1 => (0..8).for_each(|_| entry.rate(later, true)),
-            _ => entry.refuse(later),
+            _ => entry.record_connect_failure(later),
         }
         assert_ne!(choose(&table, DRAFT, later).expect("a server").server, home);
         // The pause after a failure ends by itself.
@@ -90,7 +90,7 @@
         let entry = table
             .get_mut(&crate::support::server(number))
             .expect("listed");
-        entry.refuse(START);
+        entry.record_connect_failure(START);
     }
     assert!(choose(&table, DRAFT, START).is_some());
 }
@@ -138,13 +138,20 @@
     let lapse = LapseSettings::default();
     let trouble = START;
     let ms = ClockSpan::from_millis;
-    let vanished = |after: u64| lapse.vanished(START + ms(after), Some(trouble));
+    let phase_after_removal =
+        |after: u64| lapse.phase_after_removal(START + ms(after), Some(trouble));
     // Right after the trouble it may come back, within bounds from both ends.
-    assert_eq!(vanished(0), ServerPhase::Lapsed(START + ms(1_700)));
-    assert_eq!(vanished(1_500), ServerPhase::Lapsed(START + ms(2_200)));
-    assert_eq!(vanished(2_200), ServerPhase::Leaving);
-    assert_eq!(vanished(3_500), ServerPhase::Leaving);
-    assert_eq!(lapse.vanished(START, None), ServerPhase::Leaving);
+    assert_eq!(
+        phase_after_removal(0),
+        ServerPhase::Lapsed(START + ms(1_700))
+    );
+    assert_eq!(
+        phase_after_removal(1_500),
+        ServerPhase::Lapsed(START + ms(2_200))
+    );
+    assert_eq!(phase_after_removal(2_200), ServerPhase::Leaving);
+    assert_eq!(phase_after_removal(3_500), ServerPhase::Leaving);
+    assert_eq!(lapse.phase_after_removal(START, None), ServerPhase::Leaving);
 }
 
 #[test]
--- a/crates/guavawell-core/tests/forward/fleet.rs
+++ b/crates/guavawell-core/tests/forward/fleet.rs
@@ -6,7 +6,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerTable;
 
 use crate::support::Ask;
@@ -80,7 +80,7 @@
             let figures = (self.running(number), self.waiting(number));
             let table = &mut self.tables[self.open[place].instance];
             let entry = table.get_mut(&server(number)).expect("listed");
-            entry.health.heard_at = now;
+            entry.health.last_received_at = now;
             let count = |value: usize| u32::try_from(value).expect("small");
             entry.report(now, count(figures.0), count(figures.1));
         }
@@ -92,15 +92,15 @@
             return;
         };
         let entry = table.get_mut(&pick.server).expect("listed");
-        entry.begin(now, pick.unread_tokens, ask.input);
-        let listed = |number: &usize| -> ServerLife { server(*number) };
+        entry.begin(now, pick.prefill_tokens, ask.input);
+        let listed = |number: &usize| -> ServerIncarnation { server(*number) };
         let number = (0..SERVERS).find(|number| listed(number) == pick.server);
         self.open.push(OpenRequest {
             instance,
             server: number.expect("listed"),
             sent: now,
             begun: None,
-            unread: pick.unread_tokens,
+            unread: pick.prefill_tokens,
             memory: ask.input,
         });
     }
--- a/crates/guavawell-core/tests/forward/lives.rs
+++ b/crates/guavawell-core/tests/forward/lives.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerTable;
 
@@ -18,9 +18,9 @@
     input: 5_000,
 };
 
-fn one(life: &ServerLife) -> ServerTable {
+fn one(incarnation: &ServerIncarnation) -> ServerTable {
     let mut table = ServerTable::default();
-    assert_eq!(table.upsert(entry(life.clone())), None);
+    assert_eq!(table.upsert(entry(incarnation.clone())), None);
     table
 }
 
@@ -31,7 +31,7 @@
     let held = table.get_mut(&first).expect("listed");
     held.begin(START, 9_000, 9_000);
     held.report(START, 8, 4);
-    held.refuse(START);
+    held.record_connect_failure(START);
     for _ in 0..20 {
         held.rate(START, true);
     }
@@ -98,7 +98,7 @@
         held.finish(10, 10);
     }
     let load = table.get(&second).expect("listed").load;
-    assert_eq!((load.in_flight, load.unread_tokens), (1, 10));
+    assert_eq!((load.in_flight, load.prefill_tokens), (1, 10));
 }
 
 #[test]
@@ -115,42 +115,45 @@
 
 #[test]
 fn an_unreadable_entry_names_no_server_until_a_readable_one_follows() {
-    let life = born(0, 100);
-    let mut table = one(&life);
-    table.remove(&life, ServerPhase::Unreadable);
+    let incarnation = born(0, 100);
+    let mut table = one(&incarnation);
+    table.remove(&incarnation, ServerPhase::Unreadable);
     assert_eq!(choose(&table, ASK, START), None);
-    table.upsert(entry(life.clone()));
+    table.upsert(entry(incarnation.clone()));
     assert!(choose(&table, ASK, START).is_some());
     // An unreadable entry that vanishes is not one that lapsed.
-    table.remove(&life, ServerPhase::Unreadable);
+    table.remove(&incarnation, ServerPhase::Unreadable);
     let until = START + ClockSpan::from_millis(1_000);
-    table.remove(&life, ServerPhase::Lapsed(until));
+    table.remove(&incarnation, ServerPhase::Lapsed(until));
     assert_eq!(choose(&table, ASK, START), None);
 }
 
 #[test]
 fn servers_that_tell_no_birth_keep_one_life() {
-    let life = ServerLife {
+    let incarnation = ServerIncarnation {
         born: None,
         ..born(0, 0)
     };
-    let mut table = one(&life);
-    table.get_mut(&life).expect("listed").begin(START, 10, 10);
-    assert_eq!(table.upsert(entry(life.clone())), None);
-    assert_eq!(table.get(&life).expect("listed").load.in_flight, 1);
+    let mut table = one(&incarnation);
+    table
+        .get_mut(&incarnation)
+        .expect("listed")
+        .begin(START, 10, 10);
+    assert_eq!(table.upsert(entry(incarnation.clone())), None);
+    assert_eq!(table.get(&incarnation).expect("listed").load.in_flight, 1);
     assert!(choose(&table, ASK, START).is_some());
 }
 
 #[test]
 fn an_entry_without_the_birth_that_its_server_told_is_not_its_own() {
-    let life = born(0, 100);
-    let foreign = ServerLife {
+    let incarnation = born(0, 100);
+    let foreign = ServerIncarnation {
         born: None,
-        ..life.clone()
+        ..incarnation.clone()
     };
-    let mut table = one(&life);
+    let mut table = one(&incarnation);
     assert_eq!(table.upsert(entry(foreign)), None);
     assert_eq!(choose(&table, ASK, START), None);
-    table.upsert(entry(life));
+    table.upsert(entry(incarnation));
     assert!(choose(&table, ASK, START).is_some());
 }
--- a/crates/guavawell-core/tests/forward/load.rs
+++ b/crates/guavawell-core/tests/forward/load.rs
@@ -3,7 +3,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerTable;
 
 use crate::support::Ask;
@@ -42,7 +42,7 @@
     kept: Vec<Vec<u64>>,
     dark: Vec<bool>,
     /// Requests that are still to begin: when, where, how many tokens.
-    open: Vec<(ClockTime, ServerLife, u64, u64)>,
+    open: Vec<(ClockTime, ServerIncarnation, u64, u64)>,
 }
 
 impl Replay {
@@ -62,12 +62,19 @@
         self.open = open;
         for (begins, id, unread, memory) in done {
             let entry = self.table.get_mut(&id).expect("listed");
-            entry.health.heard_at = entry.health.heard_at.max(begins);
+            entry.health.last_received_at = entry.health.last_received_at.max(begins);
             entry.finish(unread, memory);
         }
     }
 
-    fn send(&mut self, ask: Ask, to: &ServerLife, unread: u64, now: ClockTime, out: &mut Outcome) {
+    fn send(
+        &mut self,
+        ask: Ask,
+        to: &ServerIncarnation,
+        unread: u64,
+        now: ClockTime,
+        out: &mut Outcome,
+    ) {
         let number = (0..SERVERS)
             .find(|number| server(*number) == *to)
             .expect("listed");
@@ -101,7 +108,7 @@
 fn replay(
     dark: usize,
     part_of: impl Fn(&mut fastrand::Rng) -> u64,
-    pick: impl Fn(&ServerTable, Ask, ClockTime, &mut fastrand::Rng) -> (ServerLife, u64),
+    pick: impl Fn(&ServerTable, Ask, ClockTime, &mut fastrand::Rng) -> (ServerIncarnation, u64),
 ) -> Outcome {
     let mut random = fastrand::Rng::with_seed(11);
     let mut replay = Replay::new(dark);
@@ -120,9 +127,14 @@
     out
 }
 
-fn ours(table: &ServerTable, ask: Ask, now: ClockTime, _: &mut fastrand::Rng) -> (ServerLife, u64) {
+fn ours(
+    table: &ServerTable,
+    ask: Ask,
+    now: ClockTime,
+    _: &mut fastrand::Rng,
+) -> (ServerIncarnation, u64) {
     let pick = choose(table, ask, now).expect("a server");
-    (pick.server, pick.unread_tokens)
+    (pick.server, pick.prefill_tokens)
 }
 
 /// The server with the fewest requests of this instance.
@@ -131,11 +143,11 @@
     ask: Ask,
     _: ClockTime,
     random: &mut fastrand::Rng,
-) -> (ServerLife, u64) {
+) -> (ServerIncarnation, u64) {
     let start = random.usize(..SERVERS);
     let entries = (0..SERVERS).map(|step| &table.servers()[(start + step) % SERVERS]);
     let best = entries.min_by_key(|entry| entry.load.in_flight);
-    (best.expect("a server").life.clone(), ask.input)
+    (best.expect("a server").incarnation.clone(), ask.input)
 }
 
 #[test]
@@ -178,7 +190,7 @@
         let calm = crate::support::table(SERVERS);
         let home = choose(&calm, ask, now).expect("a server");
         let _ = table;
-        (home.server, home.unread_tokens)
+        (home.server, home.prefill_tokens)
     });
     println!("p95 {} ms, {} ms at home alone", chosen.p95(), stuck.p95());
     assert!(chosen.p95() * 3 < stuck.p95());
--- a/crates/guavawell-core/tests/forward/plan.rs
+++ b/crates/guavawell-core/tests/forward/plan.rs
@@ -3,7 +3,7 @@
 use guavawell_core::forward::AttemptEnd;
 use guavawell_core::forward::ForwardRefusal;
 use guavawell_core::forward::NextStep;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::forward::next_step;
 
 const ENDS: [AttemptEnd; 5] = [
@@ -18,24 +18,24 @@
 fn a_request_that_may_run_once_goes_on_only_after_proof() {
     for end in ENDS {
         let proof = matches!(end, AttemptEnd::NotSent | AttemptEnd::Rejected);
-        let again = next_step(RepeatKind::Once, end, true) == NextStep::Again;
+        let again = next_step(RetrySafety::Once, end, true) == NextStep::Retry;
         assert_eq!(again, proof, "{end:?}");
     }
 }
 
 #[test]
 fn others_go_on_while_there_is_room() {
-    for repeat in [RepeatKind::Idempotent, RepeatKind::Resumable] {
+    for repeat in [RetrySafety::Idempotent, RetrySafety::Resumable] {
         for end in ENDS {
-            assert_eq!(next_step(repeat, end, true), NextStep::Again);
-            assert_ne!(next_step(repeat, end, false), NextStep::Again);
+            assert_eq!(next_step(repeat, end, true), NextStep::Retry);
+            assert_ne!(next_step(repeat, end, false), NextStep::Retry);
         }
     }
 }
 
 #[test]
 fn a_servers_own_failure_is_handed_on() {
-    let step = next_step(RepeatKind::Once, AttemptEnd::Failed, false);
+    let step = next_step(RetrySafety::Once, AttemptEnd::Failed, false);
     assert_eq!(step, NextStep::Relay);
 }
 
--- a/crates/guavawell-core/tests/forward/question.rs
+++ b/crates/guavawell-core/tests/forward/question.rs
@@ -1,7 +1,7 @@
 //! Questions for changes, of which some connections never bring an answer.
 
 use guavawell_core::clock::ClockSpan;
-use guavawell_core::forward::QuestionPace;
+use guavawell_core::forward::PollTiming;
 
 /// What a connection and an answer take.
 const ANSWER_MS: u64 = 20;
@@ -10,14 +10,14 @@
 /// Bounds within which a change is to be in force.
 const BOUNDS_MS: [u64; 3] = [2_000, 3_000, 4_000];
 
-fn pace(bound: u64) -> QuestionPace {
-    QuestionPace::within(ClockSpan::from_millis(bound))
+fn pace(bound: u64) -> PollTiming {
+    PollTiming::within(ClockSpan::from_millis(bound))
 }
 
 /// How long a change takes to be known that is confirmed right after a question
 /// was sent, if that connection and the ones after it, `silent` in all, never
 /// bring an answer.
-fn lag_ms(pace: QuestionPace, silent: usize) -> u64 {
+fn lag_ms(pace: PollTiming, silent: usize) -> u64 {
     let mut begun = 0;
     for first in (0..).step_by(2) {
         // The question itself, and the one beside it.
@@ -27,7 +27,7 @@
         if first + 1 >= silent {
             return begun + pace.hedge_after().as_millis() + ANSWER_MS;
         }
-        begun += pace.late_after().as_millis() + pace.fault_pause(u16::MAX).as_millis();
+        begun += pace.poll_timeout().as_millis() + pace.fault_pause(u16::MAX).as_millis();
     }
     unreachable!("a connection that works is found")
 }
--- a/crates/guavawell-core/tests/forward/repeat.rs
+++ b/crates/guavawell-core/tests/forward/repeat.rs
@@ -1,16 +1,16 @@
 //! The allowance for repeats.
 
 use guavawell_core::clock::ClockSpan;
-use guavawell_core::forward::RepeatAllowance;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::RetryAllowance;
+use guavawell_core::forward::RetryLimits;
 
 use crate::support::START;
 use crate::support::service;
 
 #[test]
 fn six_instances_together_stay_within_the_fleets_allowance_in_any_window() {
-    let settings = RepeatSettings::default();
-    let mut instances = vec![RepeatAllowance::default(); settings.instances];
+    let settings = RetryLimits::default();
+    let mut instances = vec![RetryAllowance::default(); settings.instances];
     let mut sent: Vec<(u64, bool)> = Vec::new();
     let mut random = fastrand::Rng::with_seed(3);
     // A surge of failures: every request wants a repeat, at an uneven rate.
@@ -50,8 +50,8 @@
 
 #[test]
 fn without_requests_only_the_shared_part_is_left() {
-    let settings = RepeatSettings::default();
-    let mut allowance = RepeatAllowance::default();
+    let settings = RetryLimits::default();
+    let mut allowance = RetryAllowance::default();
     let taken = (0..100).filter(|_| allowance.take(&service(), START, &settings));
     assert_eq!(taken.count(), 6);
 }
--- a/crates/guavawell-core/tests/forward/route.rs
+++ b/crates/guavawell-core/tests/forward/route.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::PromptShape;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::forward::RouteEntry;
 use guavawell_core::forward::RouteShare;
 use guavawell_core::forward::RouteTable;
@@ -19,7 +19,7 @@
         host: host.into(),
         prefix: prefix.into(),
         shares: shares.iter().map(share).collect(),
-        repeat: RepeatKind::Once,
+        retry_safety: RetrySafety::Once,
         streaming: false,
         time_limit: ClockSpan::from_millis(1_000),
         target: ClockSpan::from_millis(100),
--- a/crates/guavawell-core/tests/forward/support.rs
+++ b/crates/guavawell-core/tests/forward/support.rs
@@ -1,18 +1,18 @@
 //! Servers and asks for the tests.
 
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BirthTime;
 use guavawell_core::forward::ChoiceAsk;
 use guavawell_core::forward::ChoiceSettings;
-use guavawell_core::forward::EngineFacts;
+use guavawell_core::forward::EngineLimits;
 use guavawell_core::forward::LoadFigures;
 use guavawell_core::forward::PromptPart;
 use guavawell_core::forward::ServerEntry;
 use guavawell_core::forward::ServerHealth;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::forward::ServerTable;
+use guavawell_core::forward::StartTime;
 use guavawell_core::forward::TokenUsage;
 use guavawell_core::forward::choose_server;
 use guavawell_core::id::ServiceId;
@@ -20,7 +20,7 @@
 use guavawell_core::id::ZoneId;
 
 /// The engines of the tests.
-pub const ENGINE: EngineFacts = EngineFacts {
+pub const ENGINE: EngineLimits = EngineLimits {
     slots: 8,
     memory: TokenCount::new(200_000),
     event_tokens: 5,
@@ -37,28 +37,28 @@
     name.parse().expect("a valid id")
 }
 
-pub fn server(number: usize) -> ServerLife {
+pub fn server(number: usize) -> ServerIncarnation {
     born(number, 1)
 }
 
 /// The life of a server that began at a time.
-pub fn born(number: usize, millis: u64) -> ServerLife {
-    ServerLife {
+pub fn born(number: usize, millis: u64) -> ServerIncarnation {
+    ServerIncarnation {
         id: format!("i-{number:03}").parse().expect("a valid id"),
-        born: Some(BirthTime::from_millis(millis)),
+        born: Some(StartTime::from_millis(millis)),
     }
 }
 
 /// A ready server without load.
-pub fn entry(life: ServerLife) -> ServerEntry {
+pub fn entry(incarnation: ServerIncarnation) -> ServerEntry {
     ServerEntry {
-        life,
+        incarnation,
         service: service(),
         address: ([10, 0, 0, 1], 8_000).into(),
         zone: zone("z1"),
         slots: 8,
         phase: ServerPhase::Ready,
-        said_leaving: false,
+        announced_leaving: false,
         load: LoadFigures::default(),
         health: ServerHealth::default(),
         suspects: Vec::new(),
@@ -93,7 +93,7 @@
     table: &ServerTable,
     ask: Ask,
     now: ClockTime,
-    tried: &[ServerLife],
+    tried: &[ServerIncarnation],
 ) -> Option<ServerPick> {
     let service = service();
     let zone = zone("z1");
--- a/crates/guavawell-core/tests/forward/words.rs
+++ b/crates/guavawell-core/tests/forward/words.rs
@@ -7,7 +7,7 @@
 use guavawell_core::forward::ServerEntry;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerTable;
-use guavawell_core::forward::read_pause;
+use guavawell_core::forward::parse_pause;
 
 use crate::support::Ask;
 use crate::support::START;
@@ -34,8 +34,8 @@
 
 fn leave(table: &mut ServerTable, number: usize) {
     let held = table.get_mut(&server(number)).expect("listed");
-    assert!(held.say_leaving());
-    assert!(!held.say_leaving(), "it is told once");
+    assert!(held.record_leaving());
+    assert!(!held.record_leaving(), "it is told once");
 }
 
 fn pause(table: &mut ServerTable, number: usize, millis: u64) -> bool {
@@ -62,7 +62,7 @@
     let mut table = ServerTable::default();
     let leaving = ServerEntry {
         phase: ServerPhase::Leaving,
-        said_leaving: true,
+        announced_leaving: true,
         ..entry(server(0))
     };
     table.upsert(entry(server(0)));
@@ -143,7 +143,7 @@
 #[test]
 fn seconds_with_fractions_are_read_and_nothing_else() {
     for (text, millis) in [("1", 1_000), ("0.25", 250), (" 2.5 ", 2_500), ("0", 0)] {
-        assert_eq!(read_pause(text), (span(millis), None), "{text}");
+        assert_eq!(parse_pause(text), (span(millis), None), "{text}");
     }
     for text in [
         "",
@@ -156,12 +156,12 @@
         "1.2.3",
         "Fri, 04 Dec 2026 07:28:00 GMT",
     ] {
-        let (pause, error) = read_pause(text);
+        let (pause, error) = parse_pause(text);
         assert_eq!(pause, ClockSpan::ZERO, "{text}");
         assert!(matches!(error, Some(PauseError::Unreadable(_))), "{text}");
     }
     for text in ["121", "99999999999999999999999999"] {
-        let (pause, error) = read_pause(text);
+        let (pause, error) = parse_pause(text);
         assert_eq!(pause, span(120_000), "{text}");
         assert!(matches!(error, Some(PauseError::TooLong(_))), "{text}");
     }
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::grant::encode_row;
 use guavawell_core::poison::CrashedServers;
 use guavawell_core::poison::OrganisationTag;
@@ -35,7 +35,7 @@
 
 /// A server of its own.
 fn server(id: &str) -> ServerTag {
-    ServerTag::of(&ServerLife {
+    ServerTag::of(&ServerIncarnation {
         id: id.parse().expect("an id"),
         born: None,
     })
--- a/crates/guavawell-core/tests/poison/world.rs
+++ b/crates/guavawell-core/tests/poison/world.rs
@@ -6,8 +6,8 @@
 use fastrand::Rng;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BirthTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
+use guavawell_core::forward::StartTime;
 use guavawell_core::poison::MarkChange;
 use guavawell_core::poison::OrganisationTag;
 use guavawell_core::poison::PoisonSettings;
@@ -332,9 +332,9 @@
 
     /// A server crashes with all that it runs.
     fn crash(&mut self, server: usize) {
-        let life = ServerTag::of(&ServerLife {
+        let life = ServerTag::of(&ServerIncarnation {
             id: format!("s{server}").parse().expect("an id"),
-            born: Some(BirthTime::from_millis(self.servers[server].back_at)),
+            born: Some(StartTime::from_millis(self.servers[server].back_at)),
         });
         self.servers[server].back_at = self.now + self.random.u64(BACK_MS);
         let lost = self
--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -8,8 +8,8 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::AttemptEnd;
-use guavawell_core::forward::RepeatKind;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::RetrySafety;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::poison::OrganisationTag;
@@ -102,7 +102,7 @@
 pub fn abandoned(
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
-    server: &ServerLife,
+    server: &ServerIncarnation,
 ) -> AbandonedAttempt {
     let organisation = call.organisation.as_ref().map(|(id, _)| id);
     AbandonedAttempt {
@@ -152,7 +152,7 @@
     head.status == 421 || (told && head.status != 400)
 }
 
-fn note_rejection(router: &ForwardRouter, server: &ServerLife, answer: OpenAnswer) {
+fn note_rejection(router: &ForwardRouter, server: &ServerIncarnation, answer: OpenAnswer) {
     if answer.head.status == 421 {
         // Another server has the address: this one is gone.
         let mut servers = router.servers.borrow_mut();
@@ -260,14 +260,14 @@
     let left = router.clock.left(call.ends_at);
     let last = progress.sent >= call.route.attempts || !router.poison.may_repeat(call.fingerprint);
     let times = &router.settings.times;
-    let limit = match call.route.repeat {
+    let limit = match call.route.retry_safety {
         _ if last => left,
-        RepeatKind::Once => left,
-        RepeatKind::Idempotent => {
+        RetrySafety::Once => left,
+        RetrySafety::Idempotent => {
             let usual = call.route.target.as_millis() * 3 / 2;
             ClockSpan::from_millis(usual).max(times.attempt)
         }
-        RepeatKind::Resumable => times.stream_silence.max(call.route.target),
+        RetrySafety::Resumable => times.stream_silence.max(call.route.target),
     };
     limit.min(left)
 }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -1,6 +1,6 @@
 //! The configuration in force at this instance, and how old it may be.
 //!
-//! `guavawell_core::forward::ConfigBelief` decides what comes into force; this
+//! `guavawell_core::forward::ConfigTracker` decides what comes into force; this
 //! folder keeps the configuration itself and what the store holds of it, and asks
 //! other instances while the store does not answer.
 
@@ -14,11 +14,11 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BeliefStep;
-use guavawell_core::forward::ConfigBelief;
+use guavawell_core::forward::ConfigAction;
 use guavawell_core::forward::ConfigSource;
+use guavawell_core::forward::ConfigTracker;
 use guavawell_core::forward::ForwardConfig;
-use guavawell_core::forward::QuestionPace;
+use guavawell_core::forward::PollTiming;
 use guavawell_core::number::fraction;
 use guavawell_fleet::event::EventDraft;
 use guavawell_fleet::event::EventLog;
@@ -71,7 +71,7 @@
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
-    belief: RefCell<ConfigBelief>,
+    belief: RefCell<ConfigTracker>,
     /// What is in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// What the store told last.
@@ -79,7 +79,7 @@
     /// Age beyond which an answer of the store is overdue.
     overdue_after: ClockSpan,
     /// Time from a question until it counts as failed.
-    late_after: ClockSpan,
+    poll_timeout: ClockSpan,
     /// The store answered.
     answered: Event,
     /// Since when a question to the store has no answer when it should, or
@@ -91,15 +91,10 @@
 impl ConfigDesk {
     /// A desk that knows no configuration yet.
     #[must_use]
-    pub fn new(
-        pace: QuestionPace,
-        clock: SteadyClock,
-        log: EventLog,
-        decode: ConfigDecoder,
-    ) -> Self {
+    pub fn new(pace: PollTiming, clock: SteadyClock, log: EventLog, decode: ConfigDecoder) -> Self {
         Self {
             overdue_after: pace.overdue_after(0),
-            late_after: pace.late_after(),
+            poll_timeout: pace.poll_timeout(),
             answered: Event::new(),
             doubted_since: Cell::new(None),
             doubted: Event::new(),
@@ -150,7 +145,7 @@
     pub async fn await_check(&self, patience: ClockSpan) {
         let awaited = || self.is_awaited();
         if !wait_while(&self.clock, &self.answered, patience, awaited).await {
-            self.belief.borrow_mut().age_mut().waited_in_vain();
+            self.belief.borrow_mut().age_mut().wait_timed_out();
         }
     }
 
@@ -164,7 +159,11 @@
 
     /// The store answered a question sent at `asked`. Returns the configuration
     /// that it told, if that could be read.
-    pub fn store_told(&self, told: ConfigTold<'_>, asked: ClockTime) -> Option<Rc<ForwardConfig>> {
+    pub fn store_answered(
+        &self,
+        told: ConfigTold<'_>,
+        asked: ClockTime,
+    ) -> Option<Rc<ForwardConfig>> {
         let now = self.clock.boot_now();
         self.doubted_since.set(None);
         let (bytes, revision) = match told {
@@ -184,7 +183,7 @@
             .inspect_err(|error| self.unreadable(error, revision))
             .ok()?;
         let mut belief = self.belief.borrow_mut();
-        let step = belief.store_told(config.version, revision, asked, now);
+        let step = belief.store_answered(config.version, revision, asked, now);
         drop(belief);
         self.store(&config, bytes);
         self.carry_out(step, Some(&config), asked, now);
@@ -204,7 +203,7 @@
     pub fn unanswered(&self, asked: ClockTime) {
         let now = self.clock.boot_now();
         let mut belief = self.belief.borrow_mut();
-        belief.age_mut().unanswered(asked, self.late_after, now);
+        belief.age_mut().unanswered(asked, self.poll_timeout, now);
         drop(belief);
         self.doubt(ClockSpan::ZERO);
     }
@@ -236,7 +235,7 @@
     #[must_use]
     pub fn tell(&self, known: u64) -> Option<ConfigAnswer> {
         let belief = self.belief.borrow();
-        let version = belief.proved_version()?;
+        let version = belief.confirmed_version()?;
         let age = belief.age().at(self.clock.boot_now())?;
         let stored = self.stored.borrow();
         let stored = stored
@@ -256,12 +255,16 @@
     /// # Errors
     ///
     /// It told something that cannot be what the store holds.
-    pub fn instance_told(&self, told: &ConfigAnswer, asked: ClockTime) -> Result<bool, Box<str>> {
+    pub fn instance_answered(
+        &self,
+        told: &ConfigAnswer,
+        asked: ClockTime,
+    ) -> Result<bool, Box<str>> {
         let now = self.clock.boot_now();
         if told.bytes.is_empty() {
             let mut belief = self.belief.borrow_mut();
             if !belief.is_behind(told.version) {
-                belief.instance_told(told.version, told.age, asked, now);
+                belief.instance_answered(told.version, told.age, asked, now);
             }
             return Ok(false);
         }
@@ -271,9 +274,9 @@
             return Err(format!("it was named {named} and is {held}").into());
         }
         let mut belief = self.belief.borrow_mut();
-        let step = belief.instance_told(told.version, told.age, asked, now);
+        let step = belief.instance_answered(told.version, told.age, asked, now);
         drop(belief);
-        if step != BeliefStep::Take {
+        if step != ConfigAction::Apply {
             return Ok(false);
         }
         let asked_ago = now.since(asked).as_millis();
@@ -305,17 +308,17 @@
     /// Does what follows from an answer of the store.
     fn carry_out(
         &self,
-        step: BeliefStep,
+        step: ConfigAction,
         told: Option<&Rc<ForwardConfig>>,
         asked: ClockTime,
         now: ClockTime,
     ) {
         self.answered.notify(usize::MAX);
         match (step, told) {
-            (BeliefStep::Take, Some(config)) => {
+            (ConfigAction::Apply, Some(config)) => {
                 self.put_in_force(config, ConfigSource::Store, now.since(asked));
             }
-            (BeliefStep::Disown, _) => self.disown(),
+            (ConfigAction::Revert, _) => self.disown(),
             _ => {}
         }
     }
--- a/crates/guavawell-forward/src/config/others.rs
+++ b/crates/guavawell-forward/src/config/others.rs
@@ -94,7 +94,7 @@
 /// Takes in what an instance told; whether it is in touch with the store.
 fn take(router: &ForwardRouter, told: &ToldConfig) -> bool {
     let answer = &told.answer;
-    match router.configs.instance_told(answer, told.asked) {
+    match router.configs.instance_answered(answer, told.asked) {
         Ok(in_force) => {
             if in_force {
                 router.config_changed();
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -18,7 +18,7 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::poison::OrganisationTag;
 use guavawell_core::poison::RequestFingerprint;
@@ -52,7 +52,7 @@
 /// One look at a server.
 #[derive(Debug)]
 struct CrashCheck {
-    server: ServerLife,
+    server: ServerIncarnation,
     began: ClockTime,
     /// Whether it has crashed, once that is known.
     crashed: Cell<Option<bool>>,
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct AbandonedAttempt {
     /// The server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// Whose it is.
@@ -80,13 +80,13 @@
     /// The last attempts that were abandoned, oldest first.
     abandoned: RefCell<VecDeque<(ClockTime, AbandonedAttempt)>>,
     /// Connections that servers took, to be looked at again.
-    taken: RefCell<Vec<(ServerLife, HttpChannel)>>,
+    taken: RefCell<Vec<(ServerIncarnation, HttpChannel)>>,
     bell: Event,
 }
 
 impl CrashChecks {
     /// A look that still tells of the server now.
-    fn find(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
+    fn find(&self, server: &ServerIncarnation, now: ClockTime) -> Option<Rc<CrashCheck>> {
         let mut checks = self.checks.borrow_mut();
         checks.retain(|check| now.since(check.began) < REMEMBERED);
         let tells = |check: &&Rc<CrashCheck>| {
@@ -102,7 +102,7 @@
         checks.iter().rev().find(tells).cloned()
     }
 
-    fn begin(&self, server: &ServerLife, now: ClockTime) -> Rc<CrashCheck> {
+    fn begin(&self, server: &ServerIncarnation, now: ClockTime) -> Rc<CrashCheck> {
         let check = Rc::new(CrashCheck {
             server: server.clone(),
             began: now,
@@ -124,7 +124,7 @@
     }
 
     /// Attempts that were abandoned at a server shortly before it crashed.
-    fn take_abandoned(&self, server: &ServerLife, now: ClockTime) -> Vec<AbandonedAttempt> {
+    fn take_abandoned(&self, server: &ServerIncarnation, now: ClockTime) -> Vec<AbandonedAttempt> {
         let mut abandoned = self.abandoned.borrow_mut();
         abandoned.retain(|(at, _)| now.since(*at) < ABANDONED_FOR);
         let (there, others): (VecDeque<_>, VecDeque<_>) = abandoned
@@ -179,7 +179,7 @@
 }
 
 /// Whether a server that just broke off has crashed. One that leaves has not.
-async fn has_crashed(router: &ForwardRouter, server: &ServerLife) -> bool {
+async fn has_crashed(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
     let listed = router.servers.borrow().get(server).map(|held| held.phase);
     if listed == Some(ServerPhase::Leaving) {
         return false;
@@ -205,7 +205,7 @@
     check.crashed.get().unwrap_or(false)
 }
 
-async fn look(router: &ForwardRouter, server: &ServerLife) -> bool {
+async fn look(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
     let Some(address) = router.servers.borrow().get(server).map(|held| held.address) else {
         return false;
     };
@@ -262,12 +262,12 @@
 
 /// A server refused a connection: others are asked first for a while, and what
 /// was abandoned there lately is held against the requests.
-pub fn refused(router: &ForwardRouter, server: &ServerLife) {
+pub fn refused(router: &ForwardRouter, server: &ServerIncarnation) {
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
     let mut leaves = false;
     if let Some(entry) = servers.get_mut(server) {
-        entry.refuse(now);
+        entry.record_connect_failure(now);
         leaves = entry.phase == ServerPhase::Leaving;
     }
     drop(servers);
--- a/crates/guavawell-forward/src/judge.rs
+++ b/crates/guavawell-forward/src/judge.rs
@@ -11,7 +11,7 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::ForwardRefusal;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::forward::RouteEntry;
 use guavawell_core::id::OrganisationId;
 
@@ -107,7 +107,7 @@
     };
     note_config(router, &config, record);
     let route = route_under(router, &config, call)?;
-    if may_have_run && route.repeat == RepeatKind::Once {
+    if may_have_run && route.retry_safety == RetrySafety::Once {
         return Err(ForwardRefusal::AnswerLost);
     }
     if !route.sends_to(&call.service) {
--- a/crates/guavawell-forward/src/lease.rs
+++ b/crates/guavawell-forward/src/lease.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::poison::RequestFingerprint;
 
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct ServerLease {
     router: Rc<ForwardRouter>,
-    server: ServerLife,
+    server: ServerIncarnation,
     unread: Cell<u64>,
     memory: u64,
     /// The request, if servers have crashed under it.
@@ -32,13 +32,13 @@
     ) -> Self {
         let now = router.clock.now();
         if let Some(server) = router.servers.borrow_mut().get_mut(&pick.server) {
-            server.begin(now, pick.unread_tokens, memory);
+            server.begin(now, pick.prefill_tokens, memory);
             server.suspects.extend(suspect);
         }
         Self {
             router: Rc::clone(router),
             server: pick.server.clone(),
-            unread: Cell::new(pick.unread_tokens),
+            unread: Cell::new(pick.prefill_tokens),
             memory,
             suspect,
         }
@@ -46,21 +46,21 @@
 
     /// The server.
     #[must_use]
-    pub const fn server(&self) -> &ServerLife {
+    pub const fn server(&self) -> &ServerIncarnation {
         &self.server
     }
 
     /// Bytes of the server were received.
     pub fn heard(&self) {
         let now = self.router.clock.now();
-        self.change(|server| server.health.heard_at = now);
+        self.change(|server| server.health.last_received_at = now);
     }
 
     /// The server has read the prompt.
     pub fn prompt_read(&self) {
         let unread = self.unread.replace(0);
         self.change(|server| {
-            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread);
+            server.load.prefill_tokens = server.load.prefill_tokens.saturating_sub(unread);
         });
     }
 
@@ -89,7 +89,7 @@
     fn is_succeeded(&self) -> bool {
         let servers = self.router.servers.borrow();
         let newest = servers.newest(&self.server.id);
-        newest.is_some_and(|entry| entry.life.born > self.server.born)
+        newest.is_some_and(|entry| entry.incarnation.born > self.server.born)
     }
 
     /// The outcome, where the server could have served the request.
--- a/crates/guavawell-forward/src/open.rs
+++ b/crates/guavawell-forward/src/open.rs
@@ -1,8 +1,8 @@
 //! A connection for an attempt: an idle one of the pool, or a new one.
 
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::RepeatKind;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::RetrySafety;
+use guavawell_core::forward::ServerIncarnation;
 
 use crate::clock::timer_span;
 use crate::crash::refused;
@@ -16,10 +16,10 @@
 pub async fn open_channel(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
-    server: &ServerLife,
+    server: &ServerIncarnation,
 ) -> Option<HttpChannel> {
     let times = &router.settings.times;
-    let once = call.route.repeat == RepeatKind::Once;
+    let once = call.route.retry_safety == RetrySafety::Once;
     let most_idle = if once { times.idle_once } else { times.idle };
     let now = router.clock.now();
     let idle = router.pool.borrow_mut().take(server, now, most_idle);
@@ -57,14 +57,14 @@
     router.connects.set(pace);
 }
 
-fn note_unreached(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
+fn note_unreached(router: &ForwardRouter, server: &ServerIncarnation, error: &ChannelError) {
     if error.is_refusal() {
         refused(router, server);
         return;
     }
     let now = router.clock.now();
     if let Some(entry) = router.servers.borrow_mut().get_mut(server) {
-        entry.refuse(now);
+        entry.record_connect_failure(now);
     }
     router.pool.borrow_mut().forget(server);
 }
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 
 use crate::http::FieldList;
 use crate::http::HttpChannel;
@@ -24,14 +24,14 @@
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     /// Sorted by life; the newest connection last.
-    servers: Vec<(ServerLife, Vec<IdleChannel>)>,
+    servers: Vec<(ServerIncarnation, Vec<IdleChannel>)>,
 }
 
 impl ConnectionPool {
     /// Takes a connection that was idle for `most_idle` at most.
     pub fn take(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         now: ClockTime,
         most_idle: ClockSpan,
     ) -> Option<HttpChannel> {
@@ -52,7 +52,7 @@
     /// Keeps a connection whose last answer was whole.
     pub fn put(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         channel: HttpChannel,
         now: ClockTime,
         keep: ClockSpan,
@@ -75,7 +75,7 @@
     }
 
     /// Drops all connections to a server.
-    pub fn forget(&mut self, server: &ServerLife) {
+    pub fn forget(&mut self, server: &ServerIncarnation) {
         if let Ok(place) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
             self.servers.remove(place);
         }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -4,7 +4,7 @@
 
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::AttemptEnd;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::id::TokenCount;
 
 use crate::answer::OpenAnswer;
@@ -204,7 +204,8 @@
     answer: &mut OpenAnswer,
     held: &mut Vec<u8>,
 ) -> Result<bool, ChannelError> {
-    let movable = call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
+    let movable =
+        call.route.retry_safety == RetrySafety::Resumable && progress.sent < call.route.attempts;
     let silence = router.settings.times.stream_silence;
     loop {
         let left = router.clock.left(call.ends_at);
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -1,6 +1,6 @@
 //! A request as a backend server gets it.
 
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 
 use crate::http::BodyFraming;
 use crate::http::HeadWriter;
@@ -17,7 +17,7 @@
 pub fn request_bytes(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
-    server: &ServerLife,
+    server: &ServerIncarnation,
     progress: &RequestProgress,
 ) -> Vec<u8> {
     let names = &router.settings.names;
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -7,14 +7,14 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ConnectPace;
+use guavawell_core::forward::ConnectTimeout;
 use guavawell_core::forward::FeedAge;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::LinkCongestion;
-use guavawell_core::forward::RepeatAllowance;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::RetryAllowance;
+use guavawell_core::forward::RetryLimits;
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerTable;
 use guavawell_core::id::BackendId;
@@ -70,9 +70,9 @@
     /// Whether budgets were open once; new ones do not close the door again.
     opened: Cell<bool>,
     /// Allowance for repeats.
-    pub repeats: RefCell<RepeatAllowance>,
+    pub repeats: RefCell<RetryAllowance>,
     /// What tries to connect to servers tell of the way.
-    pub connects: Cell<ConnectPace>,
+    pub connects: Cell<ConnectTimeout>,
     /// What connections to servers tell of the own link.
     link: Cell<LinkCongestion>,
     /// Idle connections to servers.
@@ -135,7 +135,7 @@
 
     /// The store answered a question about the configuration sent at `asked`.
     pub fn config_told(&self, told: ConfigTold<'_>, asked: ClockTime) {
-        let Some(config) = self.configs.store_told(told, asked) else {
+        let Some(config) = self.configs.store_answered(told, asked) else {
             return;
         };
         self.take_paid(&config);
@@ -158,27 +158,27 @@
 
     /// The platform lists a server.
     pub fn list_server(&self, entry: ServerEntry) {
-        let life = entry.life.clone();
+        let incarnation = entry.incarnation.clone();
         let phase = entry.phase;
         let mut servers = self.servers.borrow_mut();
-        let before = servers.get(&life).map(|held| held.phase);
+        let before = servers.get(&incarnation).map(|held| held.phase);
         let former = servers.upsert(entry);
-        let after = servers.get(&life).map(|held| held.phase);
+        let after = servers.get(&incarnation).map(|held| held.phase);
         drop(servers);
         if let Some(former) = former {
-            self.end_life(&former, &life);
+            self.end_life(&former, &incarnation);
         }
         if before != after {
-            self.note_server("server.listed", &life, phase);
+            self.note_server("server.listed", &incarnation, phase);
         }
     }
 
     /// A server started again: nothing of its former life is used any more.
-    fn end_life(&self, former: &ServerLife, life: &ServerLife) {
+    fn end_life(&self, former: &ServerIncarnation, incarnation: &ServerIncarnation) {
         self.pool.borrow_mut().forget(former);
         self.reborn.notify(usize::MAX);
         let draft = EventDraft::new("server.reborn")
-            .field("life", life)
+            .field("life", incarnation)
             .field("before", former);
         self.log.emit(draft);
     }
@@ -186,10 +186,10 @@
     /// Whether a server still takes requests: it may have begun to leave, or
     /// asked for a pause, while a connection to it was being opened.
     #[must_use]
-    pub fn takes_requests(&self, life: &ServerLife) -> bool {
+    pub fn takes_requests(&self, incarnation: &ServerIncarnation) -> bool {
         let now = self.clock.now();
         let servers = self.servers.borrow();
-        let entry = servers.get(life);
+        let entry = servers.get(incarnation);
         entry.is_some_and(|held| held.takes_requests(now) && !held.is_paused(now))
     }
 
@@ -197,7 +197,7 @@
     pub fn unlist_server(&self, id: &BackendId) {
         let now = self.clock.now();
         let lapse = &self.settings.times.lapse;
-        let phase = lapse.vanished(now, self.trouble_at.get());
+        let phase = lapse.phase_after_removal(now, self.trouble_at.get());
         self.remove_server("server.unlisted", id, phase);
     }
 
@@ -209,22 +209,25 @@
 
     fn remove_server(&self, kind: &str, id: &BackendId, phase: ServerPhase) {
         let mut servers = self.servers.borrow_mut();
-        let Some(life) = servers.newest(id).map(|entry| entry.life.clone()) else {
+        let Some(incarnation) = servers.newest(id).map(|entry| entry.incarnation.clone()) else {
             return;
         };
-        servers.remove(&life, phase);
+        servers.remove(&incarnation, phase);
         drop(servers);
-        self.note_server(kind, &life, phase);
+        self.note_server(kind, &incarnation, phase);
     }
 
     /// The platform's whole list was read: servers that are not in it are
     /// unlisted, and those of `unreadable` entries are not used.
     pub fn list_all(&self, entries: Vec<ServerEntry>, unreadable: &[BackendId]) {
-        let readable = entries.iter().map(|entry| &entry.life.id);
+        let readable = entries.iter().map(|entry| &entry.incarnation.id);
         let mut listed: Vec<BackendId> = readable.chain(unreadable).cloned().collect();
         listed.sort();
         let known = self.servers.borrow();
-        let ids = known.servers().iter().map(|entry| entry.life.id.clone());
+        let ids = known
+            .servers()
+            .iter()
+            .map(|entry| entry.incarnation.id.clone());
         let missing: Vec<BackendId> = ids.filter(|id| listed.binary_search(id).is_err()).collect();
         drop(known);
         for id in missing {
@@ -251,8 +254,8 @@
     /// A question for the list of servers that was sent at `asked` has no answer.
     pub fn servers_unanswered(&self, asked: ClockTime) {
         let mut age = self.server_age.get();
-        let late_after = self.settings.times.servers.late_after();
-        age.unanswered(asked, late_after, self.clock.boot_now());
+        let poll_timeout = self.settings.times.servers.poll_timeout();
+        age.unanswered(asked, poll_timeout, self.clock.boot_now());
         self.server_age.set(age);
     }
 
@@ -283,12 +286,12 @@
         let awaited = || self.servers_awaited();
         if !wait_while(&self.clock, &self.servers_answered, patience, awaited).await {
             let mut age = self.server_age.get();
-            age.waited_in_vain();
+            age.wait_timed_out();
             self.server_age.set(age);
         }
     }
 
-    fn note_server(&self, kind: &str, life: &ServerLife, phase: ServerPhase) {
+    fn note_server(&self, kind: &str, incarnation: &ServerIncarnation, phase: ServerPhase) {
         let phase = match phase {
             ServerPhase::Ready => "ready",
             ServerPhase::Leaving => "leaving",
@@ -296,7 +299,7 @@
             ServerPhase::Unreadable => "unreadable",
         };
         let draft = EventDraft::new(kind)
-            .field("server", life)
+            .field("server", incarnation)
             .field("phase", phase);
         self.log.emit(draft);
     }
@@ -405,7 +408,7 @@
     /// Asks for one repeat.
     #[must_use]
     pub fn take_repeat(&self, service: &ServiceId) -> bool {
-        let settings = RepeatSettings {
+        let settings = RetryLimits {
             instances: self
                 .settings
                 .repeats
--- a/crates/guavawell-forward/src/send.rs
+++ b/crates/guavawell-forward/src/send.rs
@@ -5,13 +5,13 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::AttemptEnd;
 use guavawell_core::forward::ChoiceAsk;
-use guavawell_core::forward::ChoiceRefusal;
+use guavawell_core::forward::ChoiceError;
 use guavawell_core::forward::ForwardRefusal;
 use guavawell_core::forward::NextStep;
-use guavawell_core::forward::RepeatKind;
 use guavawell_core::forward::RequestCharge;
 use guavawell_core::forward::RequestOutcome;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::RetrySafety;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::forward::choose_server;
 use guavawell_core::forward::next_step;
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 pub struct RequestProgress {
     /// Servers that were chosen.
-    pub tried: Vec<ServerLife>,
+    pub tried: Vec<ServerIncarnation>,
     /// Attempts that reached a server.
     pub sent: u32,
     /// Attempts that never left this instance.
@@ -110,8 +110,8 @@
         note_attempt(router, call, &pick, end);
         failure = answer.or(failure);
         let again = may_repeat(router, call, &progress, end);
-        let refusal = match next_step(call.route.repeat, end, again) {
-            NextStep::Again => continue,
+        let refusal = match next_step(call.route.retry_safety, end, again) {
+            NextStep::Retry => continue,
             NextStep::Relay => ForwardRefusal::AnswerLost,
             NextStep::Refuse(refusal) => refusal,
         };
@@ -188,9 +188,9 @@
     let now = router.clock.now();
     let servers = router.servers.borrow();
     choose_server(&servers, &ask, now, &router.settings.choice).map_err(|refusal| match refusal {
-        ChoiceRefusal::Unknown => ForwardRefusal::NoServer,
-        ChoiceRefusal::Full => ForwardRefusal::ServersFull,
-        ChoiceRefusal::Paused => ForwardRefusal::ServersPaused,
+        ChoiceError::Unknown => ForwardRefusal::NoServer,
+        ChoiceError::Full => ForwardRefusal::ServersFull,
+        ChoiceError::Paused => ForwardRefusal::ServersPaused,
     })
 }
 
@@ -207,7 +207,7 @@
     if end == AttemptEnd::NotSent {
         return progress.unsent < MAX_UNSENT && progress.unsent_time < UNSENT_PATIENCE;
     }
-    let once = call.route.repeat == RepeatKind::Once;
+    let once = call.route.retry_safety == RetrySafety::Once;
     if once && end != AttemptEnd::Rejected {
         return false;
     }
@@ -222,7 +222,7 @@
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
     progress: &RequestProgress,
-    server: &ServerLife,
+    server: &ServerIncarnation,
     outcome: &AttemptOutcome,
 ) {
     let lost = match outcome {
@@ -259,7 +259,7 @@
     draft.request = call.id.parse().ok();
     if let Some(server) = router.servers.borrow().get(&pick.server) {
         let now = router.clock.now();
-        let heard = now.since(server.health.heard_at).as_millis();
+        let heard = now.since(server.health.last_received_at).as_millis();
         draft = draft
             .field("heard_ms_ago", heard)
             .field("in_flight", server.load.in_flight);
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::FutureExt;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::EngineFacts;
+use guavawell_core::forward::EngineLimits;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::PromptShape;
 use guavawell_core::forward::RouteEntry;
@@ -40,7 +40,7 @@
     /// The service that it goes to.
     pub service: ServiceId,
     /// The service's engines; `None` for a plain service.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineLimits>,
     /// The organisation and the rank of its requests.
     pub organisation: Option<(OrganisationId, Option<u8>)>,
     /// Tokens of the request.
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -8,8 +8,8 @@
 use guavawell_core::forward::CongestionSettings;
 use guavawell_core::forward::ConnectSettings;
 use guavawell_core::forward::LapseSettings;
-use guavawell_core::forward::QuestionPace;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::PollTiming;
+use guavawell_core::forward::RetryLimits;
 use guavawell_core::grant::BookSettings;
 use guavawell_core::id::InstanceId;
 use guavawell_core::id::ZoneId;
@@ -20,10 +20,10 @@
 /// Each server writes its entry every second or so, and an answer to each
 /// write would be a call of its own. A server that leaves serves three seconds
 /// longer: two questions in a row may fail in that time.
-const SERVER_PACE: QuestionPace = QuestionPace {
+const SERVER_PACE: PollTiming = PollTiming {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
-    pause_each: ClockSpan::from_millis(4),
+    pause_per_instance: ClockSpan::from_millis(4),
 };
 
 /// Addresses that the process listens on.
@@ -55,9 +55,9 @@
     /// Longest silence of a stream that another server can continue.
     pub stream_silence: ClockSpan,
     /// How often the configuration is asked for.
-    pub config: QuestionPace,
+    pub config: PollTiming,
     /// How often the list of servers is asked for.
-    pub servers: QuestionPace,
+    pub servers: PollTiming,
     /// Servers whose entries vanish around trouble with the platform.
     pub lapse: LapseSettings,
     /// Time from SIGTERM in which requests are taken as ever: the balancer asks
@@ -78,7 +78,7 @@
             idle_once: ClockSpan::from_millis(900),
             attempt: ClockSpan::from_millis(250),
             stream_silence: ClockSpan::from_millis(1_200),
-            config: QuestionPace::within(ClockSpan::from_millis(2_000)),
+            config: PollTiming::within(ClockSpan::from_millis(2_000)),
             servers: SERVER_PACE,
             lapse: LapseSettings::default(),
             announce: ClockSpan::from_millis(2_900),
@@ -108,7 +108,7 @@
     /// When the own link counts as full.
     pub congestion: CongestionSettings,
     /// Allowance for repeats.
-    pub repeats: RepeatSettings,
+    pub repeats: RetryLimits,
     /// Budgets.
     pub book: BookSettings,
     /// Requests that crash servers.
--- a/crates/guavawell-forward/src/words.rs
+++ b/crates/guavawell-forward/src/words.rs
@@ -6,8 +6,8 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
-use guavawell_core::forward::read_pause;
+use guavawell_core::forward::ServerIncarnation;
+use guavawell_core::forward::parse_pause;
 use guavawell_fleet::event::EventDraft;
 
 use crate::http::ResponseHead;
@@ -19,7 +19,7 @@
 const LEAVING: &str = "1";
 
 /// Takes in what a server says in the head of an answer.
-pub fn take_words(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+pub fn take_words(router: &ForwardRouter, server: &ServerIncarnation, head: &ResponseHead) {
     if head.status == 421 {
         // Another server has the address; these are its words.
         return;
@@ -35,11 +35,11 @@
     }
 }
 
-fn take_leaving(router: &ForwardRouter, server: &ServerLife) {
+fn take_leaving(router: &ForwardRouter, server: &ServerIncarnation) {
     let mut servers = router.servers.borrow_mut();
     let fresh = servers
         .get_mut(server)
-        .is_some_and(ServerEntry::say_leaving);
+        .is_some_and(ServerEntry::record_leaving);
     drop(servers);
     if !fresh {
         return;
@@ -54,7 +54,7 @@
 
 /// Takes in for how long a server that turned a request away wants no other one;
 /// of several times the longest.
-fn take_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+fn take_pause(router: &ForwardRouter, server: &ServerIncarnation, head: &ResponseHead) {
     let texts = head.fields.all(RETRY_AFTER);
     let longest = texts
         .map(|text| read_words(router, server, text))
@@ -77,9 +77,9 @@
     }
 }
 
-fn read_words(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
+fn read_words(router: &ForwardRouter, server: &ServerIncarnation, text: &[u8]) -> ClockSpan {
     let text = String::from_utf8_lossy(text);
-    let (pause, error) = read_pause(&text);
+    let (pause, error) = parse_pause(&text);
     if let Some(error) = error {
         let draft = EventDraft::new("server.word_unreadable")
             .field("server", server)
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -11,7 +11,7 @@
 use guavawell_core::forward::CongestionSettings;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::ForwardLimits;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::RetryLimits;
 use guavawell_core::forward::RouteTable;
 use guavawell_core::grant::BookSettings;
 use guavawell_core::grant::FleetMember;
@@ -98,7 +98,7 @@
         choice: ChoiceSettings::default(),
         admission: AdmissionSettings::default(),
         congestion: CongestionSettings::default(),
-        repeats: RepeatSettings::default(),
+        repeats: RetryLimits::default(),
         book,
         poison: PoisonSettings::default(),
     };
