--- a/crates/guavawell-core/src/forward/mod.rs
+++ b/crates/guavawell-core/src/forward/mod.rs
@@ -68,4 +68,4 @@
 pub use table::ServerTable;
 pub use tracker::ConfigAction;
 pub use tracker::ConfigSource;
-pub use tracker::ConfigTracker;
+pub use tracker::VersionTracker;
--- a/crates/guavawell-core/src/forward/tracker.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -54,7 +54,7 @@
 /// What an instance knows of the configuration's version. Times are of a clock
 /// that counts suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ConfigTracker {
+pub struct VersionTracker {
     current: Option<CurrentVersion>,
     /// The newest version that the store told this process.
     newest_stored: Option<u64>,
@@ -68,7 +68,7 @@
     rejected: Option<u64>,
 }
 
-impl ConfigTracker {
+impl VersionTracker {
     /// The version in force.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
--- a/crates/guavawell-core/tests/config_belief/main.rs
+++ b/crates/guavawell-core/tests/config_belief/main.rs
@@ -6,7 +6,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ConfigTracker;
+use guavawell_core::forward::VersionTracker;
 
 use world::Plant;
 use world::World;
@@ -63,7 +63,7 @@
 
 #[test]
 fn after_a_pause_requests_wait_until_a_question_sent_since_is_answered() {
-    let mut belief = ConfigTracker::default();
+    let mut belief = VersionTracker::default();
     belief.store_answered(1, 1, at(1_000), at(1_005));
     assert!(!belief.age().is_awaited(OVERDUE, at(2_000)));
     // The process does not run from 1,010 to 5,000; the answer to the question
@@ -77,7 +77,7 @@
 
 #[test]
 fn while_the_store_is_known_to_be_away_no_request_waits() {
-    let mut belief = ConfigTracker::default();
+    let mut belief = VersionTracker::default();
     belief.store_answered(1, 1, at(1_000), at(1_005));
     // The process ran, and the next question has no answer when it should.
     belief.age_mut().unanswered(at(1_505), DUE, at(2_255));
@@ -92,7 +92,7 @@
 
 #[test]
 fn what_others_knew_last_has_nobody_wait_for_a_store_that_is_away() {
-    let mut belief = ConfigTracker::default();
+    let mut belief = VersionTracker::default();
     belief.store_answered(1, 1, at(1_000), at(1_005));
     belief.age_mut().unanswered(at(1_505), DUE, at(2_255));
     // Another instance had its last answer a little later.
@@ -104,7 +104,7 @@
 
 #[test]
 fn a_question_that_nobody_listened_for_says_nothing_of_the_store() {
-    let mut belief = ConfigTracker::default();
+    let mut belief = VersionTracker::default();
     belief.store_answered(1, 1, at(1_000), at(1_005));
     // The process does not run from 1,600 to 5,000.
     belief.age_mut().unanswered(at(1_505), DUE, at(5_000));
--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -4,7 +4,7 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::ConfigAction;
-use guavawell_core::forward::ConfigTracker;
+use guavawell_core::forward::VersionTracker;
 
 /// Instances that keep to the rules.
 const INSTANCES: usize = 3;
@@ -61,7 +61,7 @@
 /// One instance.
 #[derive(Default)]
 struct Follower {
-    belief: ConfigTracker,
+    belief: VersionTracker,
     life: u32,
     /// The last version that the store told this life, readable or not.
     since: Option<u64>,
@@ -212,7 +212,7 @@
             _ => question.asked,
         };
         let belief = &mut follower.belief;
-        let tell = |belief: &mut ConfigTracker, row: StoredVersion, asked| {
+        let tell = |belief: &mut VersionTracker, row: StoredVersion, asked| {
             // Versions rise with the rows that hold them.
             belief.store_answered(row.version, row.version, asked, now)
         };
@@ -223,7 +223,7 @@
                     true if plant == Plant::TakesOlder => {
                         let step = tell(belief, row, asked);
                         if step == ConfigAction::Keep {
-                            *belief = ConfigTracker::default();
+                            *belief = VersionTracker::default();
                             tell(belief, row, asked);
                         }
                         step
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -1,6 +1,6 @@
 //! The configuration in force at this instance, and how old it may be.
 //!
-//! `guavawell_core::forward::ConfigTracker` decides what comes into force; this
+//! `guavawell_core::forward::VersionTracker` decides what comes into force; this
 //! folder keeps the configuration itself and what the store holds of it, and asks
 //! other instances while the store does not answer.
 
@@ -16,9 +16,9 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::ConfigAction;
 use guavawell_core::forward::ConfigSource;
-use guavawell_core::forward::ConfigTracker;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::PollTiming;
+use guavawell_core::forward::VersionTracker;
 use guavawell_core::number::fraction;
 use guavawell_fleet::event::EventDraft;
 use guavawell_fleet::event::EventLog;
@@ -71,7 +71,7 @@
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
-    belief: RefCell<ConfigTracker>,
+    belief: RefCell<VersionTracker>,
     /// What is in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// What the store told last.
