--- a/crates/guavawell-core/src/forward/admission.rs
+++ b/crates/guavawell-core/src/forward/admission.rs
@@ -1,17 +1,19 @@
-//! When a request is turned away before anything is sent.
+//! Admission control: refuses a request before anything is sent to a backend
+//! server.
 
 use crate::clock::ClockSpan;
 use crate::forward::ForwardRefusal;
 
-/// Bounds of admission at one instance.
+/// Limits of admission at one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Bytes of request bodies that may be held at once. Bodies are kept until
-    /// the answer begins, so that a request can be repeated.
+    /// Maximum bytes of request bodies in memory. A body is kept until the
+    /// response begins, so that the request can be retried.
     pub body_bytes: usize,
-    /// Requests that may be held at once.
+    /// Maximum number of requests in progress.
     pub requests: usize,
-    /// A request with less time left is refused: an answer cannot arrive.
+    /// A request with less time left is refused, because no response could
+    /// arrive in time.
     pub min_time_left: ClockSpan,
 }
 
@@ -25,11 +27,11 @@
     }
 }
 
-/// Decides whether a request may be taken.
+/// Decides whether a request is admitted.
 ///
 /// # Errors
 ///
-/// The refusal, if it may not.
+/// The refusal, if it is not admitted.
 pub fn admit(
     settings: &AdmissionSettings,
     held_requests: usize,
--- a/crates/guavawell-core/src/forward/age.rs
+++ b/crates/guavawell-core/src/forward/age.rs
@@ -1,26 +1,28 @@
-//! How old something may be that is read again and again from the platform's store.
+//! Age of data that is polled from the platform's store.
 //!
-//! Load pattern: a process does not run for seconds. When it does again, the
-//! store's answer from before and callers' requests are read in one go. The answer
-//! is as old as its question, and what it does not tell may hold since.
+//! Guards against wrong conclusions after a suspension: when the process
+//! resumes after seconds, it reads the store's response from before and new
+//! requests of callers in one pass. The response confirms the data only as of
+//! the time at which the poll was sent; the data may have changed since.
 
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
-/// How much later than meant a process that runs looks whether an answer came.
+/// How late a running process may notice that a response is missing. After a
+/// longer delay the process counts as suspended meanwhile.
 const CHECK_DELAY: ClockSpan = ClockSpan::from_millis(300);
 
-/// The age of what is known. Times are of a clock that counts suspensions.
+/// Age of polled data. Times are of a clock that includes suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedAge {
-    /// When the latest question was sent that was answered.
+    /// When the latest answered poll was sent.
     checked_at: Option<ClockTime>,
-    /// The store is known not to answer now.
+    /// Whether the store is known not to respond at present.
     store_unreachable: bool,
 }
 
 impl FeedAge {
-    /// The age of what was asked for at `at`.
+    /// The age of data whose poll was sent at `at`.
     #[must_use]
     pub const fn checked(at: ClockTime) -> Self {
         Self {
@@ -29,41 +31,43 @@
         }
     }
 
-    /// The store answered a question sent at `asked`.
+    /// Records a response to a poll sent at `asked`. The response to an earlier
+    /// poll than the latest answered one changes nothing.
     pub fn check(&mut self, asked: ClockTime) {
         if self.checked_at < Some(asked) {
             *self = Self::checked(asked);
         }
     }
 
-    /// Another instance knew as much at a time `at`. That the store answers it says
-    /// nothing of the own way there.
+    /// Records that another instance confirmed the data as of `at`. This does
+    /// not show that the store responds to this instance.
     pub fn check_by_instance(&mut self, at: ClockTime) {
         self.checked_at = self.checked_at.max(Some(at));
     }
 
-    /// For how long something newer may exist without being known here; `None`
-    /// while nothing is known.
+    /// How long newer data may have existed without being known here; `None`
+    /// before the first response.
     #[must_use]
     pub fn at(&self, now: ClockTime) -> Option<ClockSpan> {
         Some(now.since(self.checked_at?))
     }
 
-    /// Whether a request waits a moment for an answer that is overdue: a process
-    /// that did not run is answered at once when it does again. Where the store is
-    /// known to be away nobody waits.
+    /// Whether a request should wait briefly for an overdue response. After a
+    /// suspension, the response comes as soon as the process runs again. No
+    /// request waits for a store that is known not to respond.
     #[must_use]
     pub fn is_awaited(&self, overdue_after: ClockSpan, now: ClockTime) -> bool {
         !self.store_unreachable && self.at(now).is_some_and(|age| age > overdue_after)
     }
 
-    /// A request waited in vain.
+    /// Records that a request waited and no response came.
     pub const fn wait_timed_out(&mut self) {
         self.store_unreachable = true;
     }
 
-    /// A question sent at `asked` has no answer. That says something of the store
-    /// only if the process ran meanwhile: it should have come by `due_after`.
+    /// Records that a poll sent at `asked` has no response, which was due
+    /// `due_after` later. This shows that the store does not respond only if
+    /// the process was running at that time.
     pub fn unanswered(&mut self, asked: ClockTime, due_after: ClockSpan, now: ClockTime) {
         let was_running = now.since(asked) <= due_after + CHECK_DELAY;
         self.store_unreachable = self.store_unreachable || was_running;
--- a/crates/guavawell-core/src/forward/attempt.rs
+++ b/crates/guavawell-core/src/forward/attempt.rs
@@ -1,39 +1,39 @@
-//! What follows when an attempt at a backend server ends.
+//! Decides what follows when an attempt at a backend server ends.
 
 use crate::forward::ForwardRefusal;
 
-/// What may be repeated.
+/// Whether a request may be sent again although it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// May run any number of times.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     Once,
     /// A stream that another backend server can continue after its last event.
     Resumable,
 }
 
-/// How an attempt ended without a complete answer for the caller.
+/// How an attempt ended without a complete response for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte of the request left this instance.
+    /// No byte of the request was sent.
     NotSent,
-    /// The backend server said that it did not run the request.
+    /// The backend server stated that it did not run the request.
     Rejected,
-    /// The backend server answered with a failure of its own.
+    /// The backend server responded with an error.
     Failed,
-    /// The answer was lost, cut short or not an answer.
+    /// The response was lost, cut short or malformed.
     Lost,
-    /// The time for this attempt ran out.
+    /// The attempt timed out.
     Silent,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Choose another backend server and send again.
+    /// Choose another backend server and send the request again.
     Retry,
-    /// Hand the backend server's own failure to the caller.
+    /// Send the backend server's error response to the caller.
     Relay,
     /// Answer with a refusal.
     Refuse(ForwardRefusal),
@@ -41,9 +41,9 @@
 
 /// Decides what follows an attempt.
 ///
-/// `may_retry` tells whether attempts, time and the allowance for repeats
-/// leave room for one more. A request that may run once goes on only after
-/// proof that it did not run.
+/// `may_retry` tells whether the limits of attempts, time and retries allow
+/// another one. A request that may run at most once is sent again only if it is
+/// known that it did not run.
 #[must_use]
 pub fn next_step(retry_safety: RetrySafety, end: AttemptEnd, may_retry: bool) -> NextStep {
     let is_repeatable = retry_safety != RetrySafety::Once;
--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -1,10 +1,10 @@
-//! Which backend server gets a request.
+//! Chooses the backend server for a request.
 //!
 //! All instances rank the servers of a service alike for one shared prompt
-//! (rendezvous hashing), so that its tokens are read at one server without any
-//! talk. A request leaves that server when the time until its first token is
-//! expected to be shorter elsewhere, the price of reading the shared part again
-//! included.
+//! (rendezvous hashing), so that its tokens are prefilled at one server without
+//! coordination between instances. A request goes to another server if it can
+//! expect its first token sooner there, even though the shared part has to be
+//! prefilled again.
 
 use crate::clock::ClockTime;
 use crate::forward::EngineLimits;
@@ -21,36 +21,40 @@
 use crate::number::fraction;
 use crate::poison::RequestFingerprint;
 
-/// Cost of a server that is the last choice, beyond all other costs.
+/// Cost of a server that is the last choice; exceeds the sum of all other
+/// costs.
 const AVOIDED_COST_MS: f64 = 1e6;
-/// Cost of a server at which another suspect runs: less than that of one that
-/// probably does not answer.
+/// Cost of a server that runs another suspect. Less than the cost of a server
+/// that probably does not respond.
 const SUSPECT_COST_MS: f64 = 1e5;
 
-/// The weights of a choice. Times are in milliseconds.
+/// Weights of the cost of a server. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChoiceSettings {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine prefills per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// How much more a shared token that is read again counts than one that
-    /// has to be read anyway: it takes capacity from all requests, not only
-    /// time from this one.
+    /// Weight of a shared token that has to be prefilled again, relative to a
+    /// token that has to be prefilled anyway. It takes capacity from all
+    /// requests, not only time from this one.
     pub repeated_prefill_factor: f64,
-    /// Cost of each request that runs there, as a part of one full batch.
+    /// Cost of a full batch; with fewer requests running, the cost is in
+    /// proportion.
     pub full_batch_ms: f64,
-    /// Cost of each request that waits there beyond the slots.
+    /// Cost of each request that waits for a slot.
     pub waiting_request_ms: f64,
-    /// Cost of another availability zone, for a model engine.
+    /// Cost of a model engine in another availability zone.
     pub engine_zone_ms: f64,
-    /// Cost of another availability zone, for a plain service.
+    /// Cost of a server without an engine in another availability zone.
     pub plain_zone_ms: f64,
-    /// Cost of one request in flight against a plain server's slots.
+    /// Cost of a server without an engine that has one request per slot; with
+    /// more or fewer requests, the cost is in proportion.
     pub plain_load_ms: f64,
-    /// Cost of a server all of whose recent requests failed.
+    /// Cost of a server whose recent requests all failed; with fewer failures,
+    /// the cost is in proportion.
     pub failure_rate_ms: f64,
-    /// Failure rate beyond which a server is avoided while others can serve.
+    /// Failure rate above which a server is avoided while others can serve.
     pub max_failure_rate: f64,
-    /// Requests that may be held per slot before a server counts as full.
+    /// Requests per slot at which a server counts as full.
     pub max_requests_per_slot: f64,
 }
 
@@ -71,53 +75,56 @@
     }
 }
 
-/// What is asked for.
+/// The request for which a server is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceAsk<'a> {
-    /// The service.
+    /// The service that the request goes to.
     pub service: &'a ServiceId,
-    /// What its engines hold; `None` for a plain service.
+    /// Limits of the service's model engines; `None` for a service without
+    /// engines.
     pub engine: Option<EngineLimits>,
-    /// The caller's availability zone.
+    /// The availability zone of this instance.
     pub zone: &'a ZoneId,
-    /// The shared part that requests are brought together by.
+    /// The prompt part that determines the preferred server.
     pub affinity: Option<PromptPart>,
-    /// Tokens of all shared parts.
+    /// Tokens of all shared parts of the prompt.
     pub shared_tokens: u64,
-    /// Tokens of the request.
+    /// Token counts of the request.
     pub usage: TokenUsage,
-    /// Servers that this request was sent to before.
+    /// Servers that the request was already sent to; they are not chosen again.
     pub tried: &'a [ServerIncarnation],
-    /// The request, if servers have crashed under it. It goes where no other
-    /// suspect runs, so that the next crash tells them apart.
+    /// Fingerprint of the request, if servers have crashed while running it. It
+    /// goes to a server without other suspects, so that the next crash shows
+    /// which request causes them.
     pub suspect: Option<RequestFingerprint>,
 }
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceError {
-    /// No server of the service is known.
+    /// No server of the service takes requests, apart from those that the
+    /// request was already sent to.
     Unknown,
-    /// All of them are full.
+    /// All servers are full.
     Full,
-    /// All of them want no requests for a time.
+    /// All servers asked for a pause.
     Paused,
 }
 
 /// The chosen server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerPick {
-    /// The server.
+    /// Id and start of the server.
     pub server: ServerIncarnation,
-    /// Prompt tokens that it probably has to read.
+    /// Prompt tokens that the server probably has to prefill.
     pub prefill_tokens: u64,
 }
 
-/// Chooses a server; the lowest cost wins.
+/// Chooses the server with the lowest cost.
 ///
 /// # Errors
 ///
-/// Tells why there is none.
+/// Why no server can take the request.
 pub fn choose_server(
     table: &ServerTable,
     ask: &ChoiceAsk<'_>,
@@ -141,8 +148,8 @@
     let available = candidates
         .iter()
         .filter(|entry| has_room(entry, ask, now, settings));
-    // Each cost is worked out once; comparing by a closure would do it twice
-    // for every pair.
+    // Computes each cost once; a comparison closure would compute it twice for
+    // every pair.
     let costs = available.map(|entry| {
         let penalty = penalty_ms(entry, ask, now, settings);
         let cost = cost_ms(
@@ -167,7 +174,7 @@
     })
 }
 
-/// What keeps a request from a server as long as there are others.
+/// Cost that keeps a request from a server while there are others.
 fn penalty_ms(
     entry: &ServerEntry,
     ask: &ChoiceAsk<'_>,
@@ -189,7 +196,8 @@
     avoided_cost + suspect_cost
 }
 
-/// The server that all instances prefer for the shared part, or for a suspect.
+/// The server that all instances prefer for the same shared part or the same
+/// suspect.
 fn preferred_server<'a>(
     candidates: &[&'a ServerEntry],
     ask: &ChoiceAsk<'_>,
@@ -207,7 +215,8 @@
     Some(&best.incarnation)
 }
 
-/// Whether a server is the last choice: unheard, failing or about to vanish.
+/// Whether a server is the last choice: unreachable, silent, failing, or
+/// without an entry at the platform.
 fn is_avoided(entry: &ServerEntry, now: ClockTime, settings: &ChoiceSettings) -> bool {
     let ServerHealth { avoided_until, .. } = entry.health;
     now < avoided_until
@@ -264,7 +273,7 @@
     prefill + batch + waiting + failure + zone
 }
 
-/// The weight of a server for a shared part: the same at every instance.
+/// Rank of a server for a prompt part or a suspect: the same at every instance.
 fn rank(part: u64, server: &BackendId) -> u64 {
     let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
     for byte in server.as_str().bytes() {
--- a/crates/guavawell-core/src/forward/congestion.rs
+++ b/crates/guavawell-core/src/forward/congestion.rs
@@ -1,29 +1,30 @@
-//! Whether the link of an instance is full.
+//! Detects that the link of an instance is full.
 //!
-//! Load pattern: one organisation's callers all reach one small instance, with
-//! more than its link carries. Nothing that the instance answers helps: what
-//! fills the link is what callers send, and those that are turned away send it
-//! again. Only where new connections go elsewhere does it carry less, and that
-//! is the balancer's to do: the instance says that it is not ready.
+//! Load pattern: all callers of one organisation reach one small instance and
+//! send more than its link carries. No response of the instance helps, because
+//! the requests themselves fill the link, and refused callers send them again.
+//! The load falls only if new connections go to other instances. The load
+//! balancer sends them there once the instance reports that it is not ready.
 //!
-//! A full link shows in connections to servers that stand, but take many times
-//! what they take between any two zones. One quick connection shows that it is
-//! not. One that never stands says nothing by itself, as its server may be dead;
-//! after slow ones it is one more.
+//! A full link shows in connections to backend servers that succeed but take
+//! many times longer than connections between any two zones do. One fast
+//! connection shows that the link is not full. A connection that times out
+//! shows nothing by itself, because the server may be dead; after slow
+//! connections it counts as one more.
 
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
-/// Bounds of what counts as full.
+/// Thresholds of a full link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CongestionSettings {
-    /// A connection that takes longer waited in a queue.
+    /// A connection that takes longer has waited in a queue.
     pub slow_connect: ClockSpan,
-    /// How long there are only slow ones before the link counts as full: a
-    /// burst that ends by itself sends nobody away.
+    /// How long there must be only slow connections before the link counts as
+    /// full. A short burst then sends no caller away.
     pub full_after: ClockSpan,
-    /// How long the last slow one tells of the link. Where nobody comes any
-    /// more, the instance is ready again.
+    /// How long the last slow connection counts. An instance without new
+    /// connections becomes ready again after this time.
     pub valid_for: ClockSpan,
 }
 
@@ -37,16 +38,16 @@
     }
 }
 
-/// What the last connections tell of the link.
+/// What recent connections show of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkCongestion {
     settings: CongestionSettings,
-    /// The first and the last slow connection since a quick one.
+    /// First and last slow connection since the last fast one.
     slow_streak: Option<(ClockTime, ClockTime)>,
 }
 
 impl LinkCongestion {
-    /// A link of which nothing is known.
+    /// State of a link without connections so far.
     #[must_use]
     pub const fn new(settings: CongestionSettings) -> Self {
         Self {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// A connection stood after a time, or was turned down.
+    /// Records a connection that was accepted or refused after `took`.
     pub fn connected(&mut self, took: ClockSpan, now: ClockTime) {
         let before = self
             .slow_streak
@@ -64,7 +65,7 @@
         self.slow_streak = (took > self.settings.slow_connect).then_some((first, now));
     }
 
-    /// A connection did not stand in time.
+    /// Records a connection that timed out.
     pub fn late(&mut self, now: ClockTime) {
         let streak = self
             .slow_streak
--- a/crates/guavawell-core/src/forward/connect.rs
+++ b/crates/guavawell-core/src/forward/connect.rs
@@ -1,29 +1,31 @@
-//! How long an instance waits for a connection to a backend server.
+//! Adaptive timeout of connections to backend servers.
 //!
-//! Load pattern: one organisation's callers all reach one small instance and
-//! ask for three times its usual. Their request bodies fill its link, and the
-//! answer to each opening packet waits behind them for longer than the limit
-//! that finds a dead server. No connection is made any more, and of 190 tries a
-//! second none is served, where 60 a second were before.
+//! Load pattern: all callers of one organisation reach one small instance and
+//! send three times their usual load. The request bodies fill the instance's
+//! link, and the reply to each SYN waits behind them for longer than the
+//! timeout that detects a dead server. No connection succeeds any more, and of
+//! 190 requests per second none is served, where 60 per second were before.
 //!
-//! A dead server fails alone; where several fail in a row and none succeeds
-//! between them, the way there is slow, and the limit grows.
+//! A dead server fails alone. If several attempts in a row time out, without a
+//! success in between, the network path is slow, and the timeout grows.
 
 use crate::clock::ClockSpan;
 
-/// How many times what the last connections took the next one may take.
+/// Timeout as a multiple of the recent connection time.
 const RECENT_FACTOR: u64 = 3;
 
-/// Bounds of the limit.
+/// Limits of the timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectSettings {
-    /// The limit while connections are made: zones are a few milliseconds
-    /// apart, and a lost opening packet is sent again only after a second.
+    /// Timeout while connections succeed. Zones are a few milliseconds apart,
+    /// and a lost SYN is sent again only after a second.
     pub min_timeout: ClockSpan,
-    /// The longest limit: about what callers expect until a first token.
+    /// Longest timeout: about as long as callers expect to wait for a first
+    /// token.
     pub max_timeout: ClockSpan,
-    /// Failures in a row that may be dead servers: with a third of them cut off
-    /// two in a row are one in nine.
+    /// Timeouts in a row that dead servers may explain, so that they do not
+    /// raise the timeout. With a third of the servers cut off, one in nine
+    /// pairs of attempts fails.
     pub ignored_failures: u32,
 }
 
@@ -37,18 +39,18 @@
     }
 }
 
-/// What the last tries to connect tell of the way.
+/// Timeout that follows from recent attempts to connect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectTimeout {
-    /// Tries in a row that ran out of time.
+    /// Attempts in a row that timed out.
     consecutive_timeouts: u32,
-    /// What connections took lately, in milliseconds.
+    /// Moving average of the connection time, in milliseconds.
     recent_ms: u64,
 }
 
 impl ConnectTimeout {
-    /// The limit for the next try: some times what the last ones took, doubled
-    /// for each failure in a row beyond those that dead servers explain.
+    /// The timeout of the next attempt: a multiple of the recent connection
+    /// time, doubled for each timeout in a row beyond `ignored_failures`.
     #[must_use]
     pub fn limit(&self, settings: &ConnectSettings) -> ClockSpan {
         let doublings = self
@@ -60,13 +62,14 @@
         ClockSpan::from_millis(millis).min(settings.max_timeout)
     }
 
-    /// A connection was made, or turned down: the way is open and takes so long.
+    /// Records a connection that was accepted or refused after `took`: either
+    /// shows that the network path is open.
     pub const fn answered(&mut self, took: ClockSpan) {
         self.consecutive_timeouts = 0;
         self.recent_ms = u64::midpoint(self.recent_ms, took.as_millis());
     }
 
-    /// A try ran out of time.
+    /// Records an attempt that timed out.
     pub const fn timed_out(&mut self) {
         self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
     }
--- a/crates/guavawell-core/src/forward/incarnation.rs
+++ b/crates/guavawell-core/src/forward/incarnation.rs
@@ -1,4 +1,4 @@
-//! What tells one start of a backend server from another.
+//! Identifies one run of a backend server.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,13 +6,13 @@
 
 use crate::id::BackendId;
 
-/// When a backend server started, in milliseconds since the Unix epoch, by its
+/// When a backend server started, in milliseconds since the Unix epoch by its
 /// own clock. Only compared with other starts of the same server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartTime(u64);
 
 impl StartTime {
-    /// Wraps milliseconds since the Unix epoch.
+    /// Creates a time from milliseconds since the Unix epoch.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis)
@@ -33,14 +33,14 @@
     }
 }
 
-/// One life of a backend server. A server may start again under the id that it
-/// had; it then holds nothing of what it held before.
+/// One run of a backend server, from its start to its end. A server may start
+/// again under the same id; nothing of its former state is left then.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIncarnation {
-    /// The server's id.
+    /// Id of the server, the same in all its incarnations.
     pub id: BackendId,
-    /// When this life began; `None` where servers do not tell. Such a life is
-    /// taken for earlier than any that tells.
+    /// When this incarnation started; `None` if the server does not state it.
+    /// `None` counts as earlier than any stated time.
     pub born: Option<StartTime>,
 }
 
--- a/crates/guavawell-core/src/forward/mod.rs
+++ b/crates/guavawell-core/src/forward/mod.rs
@@ -1,8 +1,10 @@
-//! Forwarded requests: opaque calls that go to a backend server unchanged.
+//! Decisions about forwarded requests, which pass to a backend server
+//! unchanged.
 //!
-//! Owns the route table, what may be repeated, the choice of a backend server,
-//! its admission, and the allowance for repeats. Everything here is plain
-//! state that takes the time as an argument; carrying out is `guavawell-forward`'s.
+//! Contains the route table, the choice of a backend server, admission, the
+//! rules and the allowance for retries, and what is known of the
+//! configuration's version. All types are plain state that takes the current
+//! time as an argument; `guavawell-forward` does the I/O.
 
 mod admission;
 mod age;
--- a/crates/guavawell-core/src/forward/pause.rs
+++ b/crates/guavawell-core/src/forward/pause.rs
@@ -1,33 +1,34 @@
-//! For how long a server that turned a request away wants no other one.
+//! Parses the time for which a backend server asks for no further requests.
 
 use thiserror::Error;
 
 use crate::clock::ClockSpan;
 use crate::number::whole;
 
-/// Longest pause that a server is given, whatever it asks for: one that is wrong
-/// about it would be lost to all until it starts again.
+/// Longest pause of a server, whatever it asks for. A wrong value would
+/// otherwise exclude the server until it restarts.
 const MAX_PAUSE: ClockSpan = ClockSpan::from_millis(120_000);
-/// Milliseconds of a second.
 const SECOND_MS: f64 = 1_000.0;
 
-/// Why a time is not kept as it was named.
+/// Why a pause does not apply as stated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PauseError {
-    /// Not a number of seconds.
-    #[error("`{0}` is no number of seconds, as in `1.5`")]
+    /// Not a decimal number of seconds.
+    #[error("`{0}` is not a number of seconds, as in `1.5`")]
     Unreadable(Box<str>),
-    /// Longer than any server is left alone.
-    #[error("`{0}` seconds are longer than {MAX_PAUSE}, which is kept to")]
+    /// Longer than the maximum, which applies instead.
+    #[error("`{0}` seconds exceed the maximum pause of {MAX_PAUSE}, which applies instead")]
     TooLong(Box<str>),
 }
 
-/// The pause that a server names in seconds, with fractions; none where it names
-/// none that can be read.
+/// Parses a pause in seconds, with decimals. Returns the pause that applies,
+/// and an error if this is not the stated one: no pause for a malformed text,
+/// the maximum for a longer pause.
 #[must_use]
 pub fn parse_pause(text: &str) -> (ClockSpan, Option<PauseError>) {
     let text = text.trim();
-    // Dates, signs, exponents and names of numbers are none.
+    // Only digits and points: `f64` would also accept signs, exponents and
+    // `inf`.
     let plain = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/crates/guavawell-core/src/forward/poll.rs
+++ b/crates/guavawell-core/src/forward/poll.rs
@@ -1,51 +1,54 @@
-//! When a question for changes is asked again.
+//! Timing of long polls for changes in the platform's store.
 //!
-//! Load pattern: a connection to the store goes silent, without a word and for
-//! good, while new ones work; at times the one after it does as well. A change
-//! that is confirmed right after is known only from a later question.
+//! Load pattern: a connection to the store goes silent for good, without an
+//! error, while new connections work; at times the next connection goes silent
+//! as well. A change that is committed right after a poll was sent is then seen
+//! only by a later poll.
 
 use crate::clock::ClockSpan;
 
-/// Time beyond a question's wait in which the store usually answers, also one
-/// that is slow; after it another question is begun beside the first.
+/// Time after a poll's wait within which even a slow store usually responds.
+/// After it, a second poll is sent while the first is still open.
 const HEDGE_MARGIN: ClockSpan = ClockSpan::from_millis(250);
-/// Time beyond a question's wait after which it counts as failed.
+/// Time after a poll's wait after which the poll counts as failed.
 const TIMEOUT_MARGIN: ClockSpan = ClockSpan::from_millis(600);
-/// Time after which an answer is overdue that would have counted as late: by then
-/// a process that ran knows that the store does not answer.
+/// Time after the timeout of a poll after which its response is overdue. A
+/// process that was running has noticed the timeout by then.
 const OVERDUE_MARGIN: ClockSpan = ClockSpan::from_millis(100);
-/// Longest pause after a failure.
+/// Longest pause after a failed poll.
 const MAX_FAULT_PAUSE: ClockSpan = ClockSpan::from_millis(200);
-/// Part of the time in which a change is to be in force that a question waits
-/// for it, as one part in so many.
+/// A poll's wait is the time within which a change must be in force, divided by
+/// this.
 const WAIT_DIVISOR: u64 = 4;
-/// Bounds of that wait. Shorter ones cost calls, longer ones leave a silent
-/// connection unnoticed.
+/// Shortest wait of a poll; shorter ones cost calls.
 const MIN_WAIT_MS: u64 = 250;
-/// See [`MIN_WAIT_MS`].
+/// Longest wait of a poll; with longer ones a silent connection is noticed
+/// late.
 const MAX_WAIT_MS: u64 = 1_000;
 
-/// When a question for changes is asked again.
+/// When polls are sent, hedged and given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollTiming {
-    /// How long a question waits for a change.
+    /// How long the store holds a poll open until there is a change.
     pub wait: ClockSpan,
-    /// Pause after an answer.
+    /// Pause after a response.
     pub pause: ClockSpan,
-    /// Further pause for each instance of the fleet, which asks the same.
+    /// Additional pause for each instance of the fleet, because all of them
+    /// poll the same store.
     pub pause_per_instance: ClockSpan,
 }
 
 impl PollTiming {
-    /// A pace at which a change is in force within `bound`: one silent
-    /// connection takes half of it at most, two in a row all.
+    /// Timing with which a change is in force within `bound`: one silent
+    /// connection delays it by half of the bound at most, two in a row by all
+    /// of it.
     #[must_use]
     pub fn within(bound: ClockSpan) -> Self {
         let wait = (bound.as_millis() / WAIT_DIVISOR).clamp(MIN_WAIT_MS, MAX_WAIT_MS);
         Self::without_pause(ClockSpan::from_millis(wait))
     }
 
-    /// A pace at which each question follows the answer before it at once.
+    /// Timing with which each poll follows the previous response immediately.
     #[must_use]
     pub const fn without_pause(wait: ClockSpan) -> Self {
         Self {
@@ -55,30 +58,30 @@
         }
     }
 
-    /// The pause after an answer in a fleet of so many instances.
+    /// The pause after a response in a fleet of `instances`.
     #[must_use]
     pub fn pause_for_fleet(self, instances: usize) -> ClockSpan {
         let each = self.pause_per_instance.as_millis() * instances as u64;
         self.pause + ClockSpan::from_millis(each)
     }
 
-    /// The time from a question until another one is begun beside it, on a
-    /// connection of its own.
+    /// Time from sending a poll until a second one is sent on another
+    /// connection.
     #[must_use]
     pub fn hedge_after(self) -> ClockSpan {
         self.wait + HEDGE_MARGIN
     }
 
-    /// The time from a question until it counts as failed, with whatever was
-    /// begun beside it.
+    /// Time from sending a poll until it counts as failed, together with the
+    /// second one.
     #[must_use]
     pub fn poll_timeout(self) -> ClockSpan {
         self.wait + TIMEOUT_MARGIN
     }
 
-    /// The pause after a failure: between half of the longest and all of it, so
-    /// that instances which lost the store together do not come back at one
-    /// moment. `draw` is uniform over all `u16`.
+    /// The pause after a failed poll: half to all of the maximum, so that
+    /// instances that lost the store together do not return at the same moment.
+    /// `draw` is uniform over all `u16`.
     #[must_use]
     pub fn fault_pause(self, draw: u16) -> ClockSpan {
         let half = MAX_FAULT_PAUSE.as_millis() / 2;
@@ -86,8 +89,9 @@
         ClockSpan::from_millis(half + part)
     }
 
-    /// The age of what is known beyond which an answer is overdue, also at a
-    /// store that is slow: it counts from the question before the open one.
+    /// Age of the data above which a response is overdue, even from a slow
+    /// store. The age counts from the last answered poll, which was sent before
+    /// the open one.
     #[must_use]
     pub fn overdue_after(self, instances: usize) -> ClockSpan {
         self.poll_timeout() + self.wait + self.pause_for_fleet(instances) + OVERDUE_MARGIN
--- a/crates/guavawell-core/src/forward/prompt.rs
+++ b/crates/guavawell-core/src/forward/prompt.rs
@@ -1,4 +1,4 @@
-//! What a request tells of its prompt: token counts and shared parts.
+//! What a caller states about a prompt: token counts and shared parts.
 
 use std::str::FromStr;
 
@@ -6,31 +6,31 @@
 
 use crate::id::TokenCount;
 
-/// Most parts that are kept of a prompt's description; more are malformed.
+/// Maximum number of parts of a prompt; a longer list is malformed.
 const MAX_PARTS: usize = 64;
 
-/// Why a prompt's description cannot be used.
+/// Why a description of a prompt is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PromptError {
     /// The token counts are not `INPUT,OUTPUT`.
-    #[error("`{0}` does not tell prompt tokens and most output tokens, as in `1460,80`")]
+    #[error("`{0}` is not a pair of prompt tokens and maximum output tokens, as in `1460,80`")]
     Usage(Box<str>),
-    /// A part is not `ID:TOKENS`.
+    /// The parts are not a list of `ID:TOKENS`, or are too many.
     #[error("`{0}` is not a list of prompt parts, as in `5c1e07a2:800,91bd3f06:410`")]
     Parts(Box<str>),
 }
 
-/// Prompt tokens, and the most output tokens, of one request.
+/// Token counts of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Tokens of the prompt, exact.
+    /// Number of prompt tokens; exact.
     pub input: TokenCount,
-    /// The most tokens that will be generated.
+    /// Maximum number of generated tokens.
     pub output_limit: TokenCount,
 }
 
 impl TokenUsage {
-    /// The most that the request can consume.
+    /// The most tokens that the request can consume.
     #[must_use]
     pub const fn worst_case(self) -> TokenCount {
         self.input.saturating_add(self.output_limit)
@@ -51,31 +51,31 @@
     }
 }
 
-/// One part of a prompt that requests may share.
+/// One part of a prompt, which several requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's id.
+    /// Id of the part, the same in all requests that share it.
     pub id: u64,
-    /// The part's length.
+    /// Length of the part.
     pub tokens: TokenCount,
 }
 
-/// The parts of a prompt in order; the last one is the request's own.
+/// The parts of a prompt, in order. The last one is the request's own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptShape {
     parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// The part by which requests that share a prompt are brought together:
-    /// the last one that is not the request's own.
+    /// The part that determines the preferred server: the last shared one, or
+    /// the request's own if there is no other.
     #[must_use]
     pub fn affinity(&self) -> Option<PromptPart> {
         let index = self.parts.len().saturating_sub(2);
         self.parts.get(index).copied()
     }
 
-    /// Tokens of all parts that other requests may share.
+    /// Tokens of all parts but the request's own.
     #[must_use]
     pub fn shared_tokens(&self) -> TokenCount {
         let shared = self.parts.len().saturating_sub(1);
--- a/crates/guavawell-core/src/forward/refusal.rs
+++ b/crates/guavawell-core/src/forward/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a forwarded request got an answer of the router's own.
+//! Why the router itself responds to a forwarded request.
 
 use std::fmt;
 
@@ -9,19 +9,20 @@
     NoConfig,
     /// No route matches host and path.
     NoRoute,
-    /// The key is missing or belongs to nobody.
+    /// The key is missing or unknown.
     UnknownKey,
-    /// The request's head or body is malformed.
+    /// The head or body of the request is malformed.
     Malformed,
-    /// The head is larger than allowed.
+    /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The body is larger than allowed.
+    /// The body exceeds its size limit.
     BodyTooLarge,
-    /// Request bodies held at this instance take all the memory set aside.
+    /// The instance holds the maximum number of requests, or of bytes of
+    /// request bodies.
     NoMemory,
-    /// What is left of the budget does not cover the request at its most.
+    /// The rest of the budget does not cover the request's worst case.
     BudgetExhausted,
-    /// Tokens that may still be left are held elsewhere, or cannot be
+    /// Tokens may be left, but other instances hold them, or they cannot be
     /// confirmed now.
     BudgetUnavailable,
     /// No backend server of the service is known or reachable.
@@ -30,15 +31,15 @@
     ServersFull,
     /// All backend servers of the service asked for a pause.
     ServersPaused,
-    /// Servers crashed under this request each time that it was sent.
+    /// Each server that the request was sent to crashed while running it.
     CrashesServers,
-    /// The process is about to end and could not finish the request.
+    /// The process is shutting down and could not finish the request.
     Leaving,
     /// The time ran out before the request was sent.
     TooLate,
-    /// The request may have run; its answer was lost or spoiled.
+    /// The request may have run; its response was lost or malformed.
     AnswerLost,
-    /// The request was sent and its time ran out.
+    /// The request was sent and timed out.
     TimedOut,
 }
 
@@ -67,8 +68,8 @@
         }
     }
 
-    /// The HTTP status that says it. 503 promises that the request has not run
-    /// and never will, so one that may have run gets 502 instead, which
+    /// The HTTP status of the refusal. 503 promises that the request has not
+    /// run and never will. A request that may have run gets 502 instead, which
     /// promises nothing.
     #[must_use]
     pub const fn status(self, may_have_run: bool) -> u16 {
--- a/crates/guavawell-core/src/forward/retry.rs
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -1,8 +1,8 @@
-//! The allowance for sending a request once more.
+//! Allowance for retries.
 //!
-//! The whole fleet may repeat a fixed part of a service's requests plus a
-//! fixed number, in any window. Each instance keeps to its part of both, so
-//! that no talk between instances is needed.
+//! In any window, the whole fleet may retry a fixed fraction of a service's
+//! requests plus a fixed number. Each instance keeps to its share of both, so
+//! that instances need no coordination.
 
 use std::collections::VecDeque;
 
@@ -11,22 +11,22 @@
 use crate::id::ServiceId;
 use crate::number::fraction;
 
-/// Slices that a window is counted in.
+/// Number of slices that a window is counted in.
 const SLICES_PER_WINDOW: u64 = 10;
 
-/// How much may be repeated.
+/// How much may be retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats per request of a service.
+    /// Retries per request of a service.
     pub ratio: f64,
-    /// Repeats of a service beyond the ratio, by the whole fleet.
+    /// Additional retries of a service, for the whole fleet.
     pub extra: f64,
     /// The window in which both are counted.
     pub window: ClockSpan,
-    /// Instances that share `extra`.
+    /// Number of instances that share `extra`.
     pub instances: usize,
-    /// Part of the allowance that is used. The rest covers requests that were
-    /// counted here in one window and judged in the next.
+    /// Fraction of the allowance that is used. The rest is a margin for windows
+    /// that include a retry but not all requests that it was counted against.
     pub used_fraction: f64,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// One instance's count of requests and repeats for each service.
+/// One instance's count of requests and retries for each service.
 #[derive(Clone, Debug, Default)]
 pub struct RetryAllowance {
     /// Sorted by service.
@@ -57,12 +57,12 @@
 }
 
 impl RetryAllowance {
-    /// Counts a request's first sending.
+    /// Counts the first attempt of a request.
     pub fn count_request(&mut self, service: &ServiceId, now: ClockTime, window: ClockSpan) {
         self.slice(service, now, window).requests += 1;
     }
 
-    /// Whether one repeat may be sent now; counts it if so.
+    /// Whether one retry may be sent now; counts it if so.
     pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RetryLimits) -> bool {
         self.slice(service, now, settings.window);
         let slices = self.slices(service);
--- a/crates/guavawell-core/src/forward/route.rs
+++ b/crates/guavawell-core/src/forward/route.rs
@@ -8,16 +8,16 @@
 use crate::id::ServiceId;
 use crate::id::TokenCount;
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on what a caller may send and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardLimits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head.
     pub head_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Longest time from a head's first byte to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_time: ClockSpan,
-    /// Longest time that a connection stays idle between requests.
+    /// Maximum idle time of a connection between requests.
     pub idle_time: ClockSpan,
 }
 
@@ -32,92 +32,94 @@
     }
 }
 
-/// One service's part of a route's requests.
+/// One service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteShare {
     /// The service.
     pub service: ServiceId,
-    /// Its weight against the route's other shares.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteEntry {
-    /// The operator's name of the route.
+    /// Name of the route, set by the operator.
     pub name: Box<str>,
-    /// The host that the route belongs to, in lower case.
+    /// Host that the route belongs to, in lower case.
     pub host: Box<str>,
-    /// The path prefix; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Where the requests go; never empty.
+    /// Services that the requests go to; never empty.
     pub shares: Box<[RouteShare]>,
-    /// What may be repeated.
+    /// Whether a request may be sent again.
     pub retry_safety: RetrySafety,
-    /// The answer is a series of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Longest time that a request is kept.
+    /// Time limit of a request.
     pub time_limit: ClockSpan,
-    /// Time within which an answer is still of full use.
+    /// Response time that callers expect; a later response is worth less to
+    /// them.
     pub target: ClockSpan,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// No key is asked for.
+    /// Whether callers need no key.
     pub public: bool,
 }
 
 /// One service of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceEntry {
-    /// The service.
+    /// Id of the service.
     pub id: ServiceId,
-    /// What its model engines can hold; `None` for a plain service.
+    /// Limits of its model engines; `None` for a service without engines.
     pub engine: Option<EngineLimits>,
 }
 
-/// What is known of the engines of a service.
+/// Limits of each model engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimits {
     /// Requests that run at once.
     pub slots: u32,
-    /// Tokens that running requests and kept prompts share.
+    /// Capacity of the KV cache, which running requests and cached prompts
+    /// share.
     pub memory: TokenCount,
-    /// Most tokens in one event of a stream.
+    /// Maximum number of tokens in one event of a stream.
     pub event_tokens: u64,
 }
 
 /// One organisation of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrganisationEntry {
-    /// The organisation.
+    /// Id of the organisation.
     pub id: OrganisationId,
-    /// Rank of its requests, where it has one of its own.
+    /// Priority of its requests; `None` if the route's applies.
     pub priority: Option<u8>,
-    /// Tokens paid for; `None` where it pays otherwise.
+    /// Prepaid tokens; `None` if the organisation does not prepay.
     pub paid: Option<TokenCount>,
 }
 
 /// One accepted configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardConfig {
-    /// The operator's version.
+    /// Version number, set by the operator.
     pub version: u64,
     /// Routes by host and path.
     pub routes: RouteTable,
     /// Services, sorted by id.
     pub services: Box<[ServiceEntry]>,
-    /// Organisations, sorted by id; empty where callers need no key.
+    /// Organisations, sorted by id; empty if callers need no key.
     pub organisations: Box<[OrganisationEntry]>,
-    /// Keys with the index of their organisation, sorted by key.
+    /// Keys, each with its index in `organisations`, sorted by key.
     pub keys: Box<[(Box<str>, usize)]>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: ForwardLimits,
 }
 
 impl ForwardConfig {
-    /// The organisation that holds a key.
+    /// The organisation that a key belongs to.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&OrganisationEntry> {
         let found = self.keys.binary_search_by(|(held, _)| (**held).cmp(key));
@@ -148,7 +150,7 @@
     }
 }
 
-/// The routes, found by host and longest prefix.
+/// Routes, looked up by host and longest path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// Sorted by host, then by prefix.
@@ -156,7 +158,7 @@
 }
 
 impl RouteTable {
-    /// A table of these routes.
+    /// Creates a table of these routes.
     #[must_use]
     pub fn new(mut routes: Vec<RouteEntry>) -> Self {
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
@@ -165,10 +167,10 @@
         }
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// The route with the longest prefix of `path`.
     ///
-    /// Costs one binary search per slash of the path, whatever the number of
-    /// routes.
+    /// Takes at most one binary search per slash in the path, whatever the
+    /// number of routes.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let host = host.to_ascii_lowercase();
@@ -195,7 +197,8 @@
             .any(|share| share.service == *service && (share.weight > 0 || self.shares.len() == 1))
     }
 
-    /// The service that a request goes to; `draw` is uniform over all `u64`.
+    /// The service for one request, chosen by weight; `draw` is uniform over
+    /// all `u64`.
     #[must_use]
     pub fn service(&self, draw: u64) -> &ServiceId {
         let total: u64 = self
--- a/crates/guavawell-core/src/forward/server.rs
+++ b/crates/guavawell-core/src/forward/server.rs
@@ -1,4 +1,4 @@
-//! What is known of one backend server that requests are forwarded to.
+//! State of one backend server that requests are forwarded to.
 
 use std::net::SocketAddr;
 
@@ -11,53 +11,57 @@
 use crate::number::whole;
 use crate::poison::RequestFingerprint;
 
-/// How long a server that has requests may stay silent before others go
-/// elsewhere. A busy engine sends events every 20 to 200 ms.
+/// How long a server that runs requests may send nothing before it is avoided.
+/// A busy engine sends events every 20 to 200 ms.
 const MAX_SILENCE: ClockSpan = ClockSpan::from_millis(700);
-/// First pause after a failure to connect; it doubles with each further one.
+/// How long a server is avoided after a failure to connect; doubles with each
+/// further failure.
 const FIRST_AVOID_MS: u64 = 250;
-/// Longest pause after failures to connect, in milliseconds.
+/// Longest time that a server is avoided after failures to connect.
 const MAX_AVOID_MS: u64 = 4_000;
 /// Weight of the newest outcome in the failure rate.
 const OUTCOME_WEIGHT: f64 = 0.12;
-/// Time after which a failure rate counts half.
+/// Time in which a failure rate decays to half.
 const FAILURE_HALF_LIFE_MS: f64 = 2_500.0;
 /// Age up to which a load report counts in full.
 const FRESH_REPORT_AGE: ClockSpan = ClockSpan::from_millis(1_500);
-/// Time after which an older report counts half. An instance of a large fleet
-/// hears from a server every ten seconds or so; where a popular prompt keeps one
-/// busy, an old report is a better guess than none.
+/// Time in which the weight of an older report decays to half. An instance of a
+/// large fleet gets a report from a server every ten seconds or so; while a
+/// popular prompt keeps the server busy, an old report is a better estimate
+/// than none.
 const REPORT_HALF_LIFE_MS: f64 = 8_000.0;
 
-/// The part of a figure that counts at an age, both times in milliseconds.
+/// Factor of exponential decay at an age; both times are in milliseconds.
 fn decay(age: f64, half_life: f64) -> f64 {
     (-age / half_life * std::f64::consts::LN_2).exp()
 }
 
-/// Whether a server takes new requests.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// It takes new requests.
+    /// It accepts new requests.
     Ready,
-    /// It announced that it leaves, or is no longer listed.
+    /// It announced its shutdown, or its entry at the platform was removed.
     Leaving,
-    /// Its entry vanished around an outage of the platform; it may come back
-    /// until this time and is the last choice meanwhile.
+    /// Its entry disappeared around an outage of the platform. The entry may
+    /// come back until this time; meanwhile the server is the last choice.
     Lapsed(ClockTime),
-    /// Its entry cannot be read, so nothing is known of where and what it is;
-    /// a readable entry makes it usable again.
+    /// Its entry cannot be decoded, so that its address and service are
+    /// uncertain. A readable entry makes it usable again.
     Unreadable,
 }
 
-/// How long a server whose entry vanished around trouble with the platform
-/// may still be there.
+/// How long a server remains usable whose entry disappeared around an outage of
+/// the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LapseSettings {
-    /// Time after the platform's last failure in which an entry may come back:
-    /// two seconds after its return, and the pause until that is noticed.
+    /// Time after the platform's last failure within which an entry may come
+    /// back: two seconds after the platform's return, plus the delay until the
+    /// return is noticed.
     pub outage_grace: ClockSpan,
-    /// Longest time from when the entry was missed: with the delay of the feed
-    /// it stays within the three seconds that a leaving server still serves.
+    /// Longest time after the entry was found missing. Together with the delay
+    /// of polling, it stays within the three seconds for which a server still
+    /// serves when it shuts down.
     pub max_lapse: ClockSpan,
 }
 
@@ -71,8 +75,8 @@
 }
 
 impl LapseSettings {
-    /// The phase of a server whose entry vanished now, `last_outage` being when
-    /// the platform last failed to answer.
+    /// The phase of a server whose entry disappeared at `now`. `last_outage` is
+    /// when the platform last failed to respond.
     #[must_use]
     pub fn phase_after_removal(
         &self,
@@ -91,27 +95,27 @@
     }
 }
 
-/// Load as the server told it, and as this instance adds to it.
+/// Load that the server reported, and load that this instance adds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadFigures {
     /// Requests of this instance that the server holds.
     pub in_flight: u32,
-    /// Their prompt tokens that the server has yet to read.
+    /// Prompt tokens of these requests that the server has yet to prefill.
     pub prefill_tokens: u64,
-    /// Their tokens in the server's memory, at their most.
+    /// Maximum number of tokens of these requests in the server's KV cache.
     pub cache_tokens: u64,
-    /// Requests that ran at the server, from all callers, when it last told.
+    /// Requests of all callers that ran at the server at its last report.
     pub running: u32,
-    /// Requests that waited there.
+    /// Requests of all callers that waited there at its last report.
     pub waiting: u32,
-    /// This instance's own part of both at that time.
+    /// Requests of this instance that the server held at that time.
     pub own_at_report: u32,
-    /// When it told, or `None` if it never did.
+    /// When the last report came; `None` if there was none.
     pub reported_at: Option<ClockTime>,
 }
 
 impl LoadFigures {
-    /// Requests that the server probably holds now, of all callers.
+    /// Estimated number of requests of all callers at the server.
     #[must_use]
     pub fn estimate(&self, now: ClockTime) -> u32 {
         let Some(reported_at) = self.reported_at else {
@@ -125,42 +129,42 @@
     }
 }
 
-/// What answers and failures tell of a server.
+/// Health of a server, as responses and failures show it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerHealth {
-    /// When a byte of it was last received, or a first request was sent to it
-    /// while it was idle.
+    /// When a byte of the server was last received, or a request was sent to it
+    /// while it had none of this instance.
     pub last_received_at: ClockTime,
     /// Failures to connect since the last success.
     pub connect_failures: u32,
-    /// No requests before this time while others can serve.
+    /// The server gets no requests before this time while others can serve.
     pub avoided_until: ClockTime,
-    /// No requests before this time at all: the server asked for it. It is not
-    /// failing.
+    /// The server gets no requests before this time, because it asked for a
+    /// pause. A pause is not a failure.
     pub paused_until: ClockTime,
-    /// Part of recent requests that failed.
+    /// Moving average of failed requests, from 0 to 1, as of `rated_at`.
     pub failure_rate: f64,
-    /// When `failure_rate` was last brought up to date.
+    /// When `failure_rate` was last updated.
     pub rated_at: ClockTime,
 }
 
 /// One backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Which life of which server this is.
+    /// Id and start of the server.
     pub incarnation: ServerIncarnation,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub phase: ServerPhase,
-    /// Whether it said itself that it leaves, so that nothing told later, and
-    /// nothing older, makes it ready again.
+    /// Whether the server itself announced its shutdown. No later or older
+    /// entry then makes this incarnation ready again.
     pub announced_leaving: bool,
     /// Its load.
     pub load: LoadFigures,
@@ -182,14 +186,14 @@
         self.load.cache_tokens += cache_tokens;
     }
 
-    /// Takes a request out again.
+    /// Removes a request from the load.
     pub fn finish(&mut self, prefill_tokens: u64, cache_tokens: u64) {
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
         self.load.prefill_tokens = self.load.prefill_tokens.saturating_sub(prefill_tokens);
         self.load.cache_tokens = self.load.cache_tokens.saturating_sub(cache_tokens);
     }
 
-    /// Notes the load that came with an answer.
+    /// Records the load that the server reported with a response.
     pub fn report(&mut self, now: ClockTime, running: u32, waiting: u32) {
         self.load.running = running;
         self.load.waiting = waiting;
@@ -197,7 +201,7 @@
         self.load.reported_at = Some(now);
     }
 
-    /// Notes the outcome of a request, where the server could have served it.
+    /// Records the outcome of a request that the server could have served.
     pub fn rate(&mut self, now: ClockTime, failed: bool) {
         let before = self.failure_rate(now);
         let outcome = if failed { 1.0 } else { 0.0 };
@@ -208,7 +212,8 @@
         }
     }
 
-    /// Notes that no connection was to be had.
+    /// Records a failure to connect, and avoids the server for a time that
+    /// doubles with each failure in a row.
     pub fn record_connect_failure(&mut self, now: ClockTime) {
         let doubled = FIRST_AVOID_MS << self.health.connect_failures.min(5);
         let pause = ClockSpan::from_millis(doubled.min(MAX_AVOID_MS));
@@ -216,41 +221,42 @@
         self.health.avoided_until = now + pause;
     }
 
-    /// Part of recent requests that failed; old failures count less.
+    /// The failure rate, decayed to the present.
     #[must_use]
     pub fn failure_rate(&self, now: ClockTime) -> f64 {
         let age = fraction(now.since(self.health.rated_at).as_millis());
         self.health.failure_rate * decay(age, FAILURE_HALF_LIFE_MS)
     }
 
-    /// Whether the server has requests of this instance and says nothing.
+    /// Whether the server has requests of this instance and has sent nothing
+    /// for too long.
     #[must_use]
     pub fn silent(&self, now: ClockTime) -> bool {
         self.load.in_flight > 0 && now.since(self.health.last_received_at) > MAX_SILENCE
     }
 
-    /// The server said that it leaves; false if that was known.
+    /// Records that the server announced its shutdown. Returns false if that
+    /// was known.
     pub fn record_leaving(&mut self) -> bool {
         let was_known = std::mem::replace(&mut self.announced_leaving, true);
         self.phase = ServerPhase::Leaving;
         !was_known
     }
 
-    /// The server wants no requests for a time; false if it did not before that
-    /// time's end already.
+    /// Pauses the server, as it asked. Returns false if it was paused already.
     pub fn pause(&mut self, now: ClockTime, span: ClockSpan) -> bool {
         let newly_paused = !self.is_paused(now);
         self.health.paused_until = self.health.paused_until.max(now + span);
         newly_paused
     }
 
-    /// Whether the server wants no requests now.
+    /// Whether the server is paused, as it asked.
     #[must_use]
     pub fn is_paused(&self, now: ClockTime) -> bool {
         now < self.health.paused_until
     }
 
-    /// Takes in a new listing of the same life.
+    /// Applies a new entry of the same incarnation.
     pub(super) fn update_listing(&mut self, entry: Self) {
         self.announced_leaving |= entry.announced_leaving;
         if self.phase != ServerPhase::Leaving {
@@ -262,10 +268,11 @@
         self.service = entry.service;
     }
 
-    /// Takes note that the listing went, or cannot be trusted.
+    /// Records that the entry was removed or cannot be decoded.
     pub(super) fn end_listing(&mut self, phase: ServerPhase) {
         self.phase = match (self.phase, phase) {
-            // Of an unreadable entry that went, what went is not one that lapsed.
+            // An entry that was unreadable before it disappeared names no
+            // usable server.
             (ServerPhase::Leaving, _) | (ServerPhase::Unreadable, ServerPhase::Lapsed(_)) => {
                 ServerPhase::Leaving
             }
@@ -273,7 +280,7 @@
         };
     }
 
-    /// Whether the server may be sent a request at all.
+    /// Whether the server's phase allows requests; a pause does not count.
     #[must_use]
     pub fn takes_requests(&self, now: ClockTime) -> bool {
         match self.phase {
--- a/crates/guavawell-core/src/forward/table.rs
+++ b/crates/guavawell-core/src/forward/table.rs
@@ -10,65 +10,66 @@
 use crate::id::BackendId;
 use crate::id::ServiceId;
 
-/// Lives of forgotten servers that are remembered, so that a late entry of one
-/// that was succeeded, or that left, is not taken for a new server: about ten
-/// times the servers that a fleet sees start again in a minute.
+/// Removed servers whose last incarnation is remembered, so that a late entry
+/// of an incarnation that was replaced, or that shut down, is not taken for a
+/// new server. About ten times the number of servers that a fleet sees restart
+/// within a minute.
 const MAX_FORGOTTEN: usize = 256;
 
-/// The newest life of a server that was forgotten.
+/// The newest known incarnation of a removed server.
 #[derive(Clone, Debug)]
 struct ForgottenServer {
     incarnation: ServerIncarnation,
-    /// Whether it said that it leaves.
+    /// Whether it announced its shutdown.
     announced_leaving: bool,
-    /// Counts up with each life that is forgotten.
+    /// Value of `forgotten_count` when it was removed.
     sequence: u64,
 }
 
-/// All backend servers, sorted by id: the newest life of each.
+/// The newest incarnation of each backend server, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     servers: Vec<ServerEntry>,
-    /// The newest lives of servers that were forgotten, sorted by id.
+    /// Removed servers that are remembered, sorted by id.
     forgotten: Vec<ForgottenServer>,
-    /// Lives that were forgotten so far.
+    /// Number of removals so far.
     forgotten_count: u64,
 }
 
 impl ServerTable {
-    /// All servers.
+    /// All servers, sorted by id.
     #[must_use]
     pub fn servers(&self) -> &[ServerEntry] {
         &self.servers
     }
 
-    /// The newest life of a server.
+    /// The newest incarnation of a server.
     #[must_use]
     pub fn newest(&self, id: &BackendId) -> Option<&ServerEntry> {
         let index = self.find(id);
         self.servers.get(index.ok()?)
     }
 
-    /// A life of a server, unless a later one has begun.
+    /// An incarnation of a server; `None` if a later one is known.
     #[must_use]
     pub fn get(&self, incarnation: &ServerIncarnation) -> Option<&ServerEntry> {
         self.newest(&incarnation.id)
             .filter(|entry| entry.incarnation == *incarnation)
     }
 
-    /// A life of a server, to be changed; `None` once a later one has begun.
+    /// Mutable access to an incarnation; `None` if a later one is known.
     pub fn get_mut(&mut self, incarnation: &ServerIncarnation) -> Option<&mut ServerEntry> {
         let index = self.find(&incarnation.id).ok()?;
         let entry = &mut self.servers[index];
         (entry.incarnation == *incarnation).then_some(entry)
     }
 
-    /// Takes in what the platform lists of a server, and returns the life that
-    /// this one succeeds.
+    /// Applies a server's entry at the platform. Returns the incarnation that
+    /// the one of the entry replaces.
     ///
-    /// A known life keeps its load and health, and one that leaves never comes
-    /// back as ready. A later life begins with nothing; what is told of an
-    /// earlier one changes nothing.
+    /// A known incarnation keeps its load and health, and no entry makes it
+    /// ready again once it is leaving. A later incarnation starts without load
+    /// or failures. The entry of an earlier one changes nothing.
     pub fn upsert(&mut self, entry: ServerEntry) -> Option<ServerIncarnation> {
         let index = match self.find(&entry.incarnation.id) {
             Ok(index) => index,
@@ -81,7 +82,8 @@
         };
         let existing = &mut self.servers[index];
         match entry.incarnation.born.cmp(&existing.incarnation.born) {
-            // Servers that tell their birth always do: not its own entry.
+            // A server that states its start time always does, so an entry
+            // without it is not the server's own.
             Ordering::Less if entry.incarnation.born.is_none() => {
                 existing.end_listing(ServerPhase::Unreadable);
                 None
@@ -95,16 +97,17 @@
         }
     }
 
-    /// A server is no longer listed, or not readably. It is dropped once
-    /// nothing runs there.
+    /// Records that a server's entry was removed or cannot be decoded.
+    /// [`sweep`](Self::sweep) removes the server when none of its requests is
+    /// left.
     pub fn remove(&mut self, incarnation: &ServerIncarnation, phase: ServerPhase) {
         if let Some(entry) = self.get_mut(incarnation) {
             entry.end_listing(phase);
         }
     }
 
-    /// How long it takes until the first server of a service wants requests
-    /// again, if all that there are asked for a pause.
+    /// Time until the first server of a service accepts requests again, if all
+    /// of them asked for a pause.
     #[must_use]
     pub fn resumes_in(&self, service: &ServiceId, now: ClockTime) -> Option<ClockSpan> {
         let serves = |entry: &&ServerEntry| entry.service == *service && entry.takes_requests(now);
@@ -113,7 +116,7 @@
         Some(earliest.since(now)).filter(|span| *span > ClockSpan::ZERO)
     }
 
-    /// Forgets servers that left and hold no request of this instance.
+    /// Removes servers that accept no requests and run none of this instance.
     pub fn sweep(&mut self, now: ClockTime) {
         let is_removable =
             |entry: &mut ServerEntry| !entry.takes_requests(now) && entry.load.in_flight == 0;
@@ -123,8 +126,8 @@
         }
     }
 
-    /// Whether a forgotten life is not to come back: a later one is known, or it
-    /// said that it leaves.
+    /// Whether a removed incarnation cannot come back: a later one is known, or
+    /// it announced its shutdown.
     fn has_ended(&self, incarnation: &ServerIncarnation) -> bool {
         let Ok(index) = self.find_forgotten(&incarnation.id) else {
             return false;
--- a/crates/guavawell-core/src/forward/tracker.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -1,21 +1,22 @@
-//! Which configuration an instance acts by, who told it, and when it was last
-//! known to be the newest.
+//! Tracks which configuration version is in force, where it came from, and when
+//! it was last known to be the newest.
 //!
-//! Load pattern: a process does not run for seconds, or its way to the store is
-//! silent, while the operator changes the configuration. What it holds is then
-//! as old as the question that was answered last, however late the answer was
-//! read.
+//! Guards against treating an old version as the newest: a process may be
+//! suspended for seconds, or lose its connection to the store, while the
+//! operator changes the configuration. However late a response is read, it
+//! confirms a version only as of the time at which the poll was sent.
 
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::forward::FeedAge;
 
-/// Who told a configuration.
+/// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The platform's store, to this process.
+    /// This process read it from the platform's store.
     Store,
-    /// Another instance, which had it from the store. No confirmation.
+    /// Another instance sent it, which had read it from the store. The store
+    /// has not confirmed it to this process.
     Instance,
 }
 
@@ -30,15 +31,16 @@
     }
 }
 
-/// What follows from something that was told.
+/// What to do after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigAction {
-    /// It comes into force.
+    /// Put the received version into force.
     Apply,
-    /// What is in force stays.
+    /// Keep the version that is in force.
     Keep,
-    /// What is in force was told by another instance, and the store has no such
-    /// version: back to what the store told last.
+    /// Go back to the newest version that this process read from the store. The
+    /// version in force came from another instance, and the store does not have
+    /// it.
     Revert,
 }
 
@@ -47,24 +49,24 @@
 struct CurrentVersion {
     version: u64,
     source: ConfigSource,
-    /// When it came into force here.
+    /// When it came into force at this instance.
     applied_at: ClockTime,
 }
 
-/// What an instance knows of the configuration's version. Times are of a clock
-/// that counts suspensions.
+/// What an instance knows of the configuration's versions. Times are of a clock
+/// that includes suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionTracker {
     current: Option<CurrentVersion>,
-    /// The newest version that the store told this process.
+    /// The newest version that this process read from the store.
     newest_stored: Option<u64>,
-    /// How long ago no newer version than the held one existed.
+    /// How long ago the version in force was known to be the newest.
     age: FeedAge,
-    /// Revision of the newest row of the store that could not be read.
+    /// Revision of the newest row of the store that could not be decoded.
     unreadable_revision: Option<u64>,
-    /// Revision of the newest one that could.
+    /// Revision of the newest row of the store that could be decoded.
     readable_revision: Option<u64>,
-    /// A version that the store did not have.
+    /// A version from another instance that the store did not have.
     rejected: Option<u64>,
 }
 
@@ -75,8 +77,8 @@
         self.current.map(|current| current.version)
     }
 
-    /// The version that may be told to other instances: one that the store told
-    /// this process. A false one reaches nobody else.
+    /// The version that may be sent to other instances: only one that this
+    /// process read from the store, so that a false version does not spread.
     #[must_use]
     pub fn confirmed_version(&self) -> Option<u64> {
         let confirmed = self
@@ -85,25 +87,26 @@
         confirmed.map(|current| current.version)
     }
 
-    /// For how long newer versions may exist without being known here.
+    /// How long newer versions may have existed without being known here.
     #[must_use]
     pub const fn age(&self) -> &FeedAge {
         &self.age
     }
 
-    /// The same, to be told of questions without an answer.
+    /// The same, for recording polls without a response.
     pub const fn age_mut(&mut self) -> &mut FeedAge {
         &mut self.age
     }
 
-    /// Whether another instance that speaks of a version knows more.
+    /// Whether another instance that announces `version` has a newer one. A
+    /// version that the store did not have does not count.
     #[must_use]
     pub fn is_behind(&self, version: u64) -> bool {
         self.rejected != Some(version) && self.version().is_none_or(|current| current < version)
     }
 
-    /// The store answered a question sent at `asked` with a version, in a row of
-    /// the given revision.
+    /// Records the store's response to a poll sent at `asked`: `version`, in a
+    /// row of the given revision.
     pub fn store_answered(
         &mut self,
         version: u64,
@@ -123,15 +126,17 @@
         if current.version == version {
             self.set_current(version, ConfigSource::Store, current.applied_at);
         } else if current.source == ConfigSource::Instance && asked > current.applied_at {
-            // The store had it no later than whoever told it.
+            // Other instances send only what they read from the store, so the
+            // store would still return this version or a newer one.
             return self.revert(current, asked, now);
         }
         self.age.check(asked);
         ConfigAction::Keep
     }
 
-    /// The store answered a question sent at `asked`: nothing has changed since
-    /// its answer before.
+    /// Records the store's response to a poll sent at `asked`: nothing has
+    /// changed since its previous response. This confirms the newest stored
+    /// version, unless the row changed to one that could not be decoded.
     pub fn store_unchanged(&mut self, asked: ClockTime, now: ClockTime) -> ConfigAction {
         match self.newest_stored {
             Some(version) if self.unreadable_revision < self.readable_revision => {
@@ -141,14 +146,15 @@
         }
     }
 
-    /// The store answered with a row that cannot be read: what is in force is not
-    /// the newest.
+    /// Records a response with a row that could not be decoded: the version in
+    /// force is not the newest.
     pub fn store_unreadable(&mut self, revision: u64) {
         self.unreadable_revision = self.unreadable_revision.max(Some(revision));
     }
 
-    /// Another instance answered a question sent at `asked` with a version that
-    /// it had from the store, and that was the newest `age` before.
+    /// Records another instance's response to a request sent at `asked`: a
+    /// version that it read from the store, and that was known to be the newest
+    /// `age` before.
     pub fn instance_answered(
         &mut self,
         version: u64,
