--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -13,16 +13,16 @@
 
 /// A fault in the rules, which the walks must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     None,
     /// An answer counts from when it was read.
-    CountsFromReading,
+    CountsAgeFromReceipt,
     /// What another instance told is told on.
-    HandsOnHearsay,
+    SendsUnconfirmed,
     /// A late answer takes an older version back into force.
-    TakesOlder,
+    AppliesOlder,
     /// A row that cannot be read is passed over.
-    PassesOverUnreadable,
+    IgnoresUnreadable,
     /// What the store does not have stays in force.
     KeepsFalseVersion,
 }
@@ -37,7 +37,7 @@
 
 /// What an answer tells.
 #[derive(Clone, Copy)]
-enum ToldAnswer {
+enum PollResponse {
     /// The store's newest version, and whether it can be read.
     Row(StoredVersion),
     /// Nothing has changed since the version that the asker knew.
@@ -47,55 +47,55 @@
 }
 
 /// A question on its way, or its answer.
-struct OpenQuestion {
+struct OpenPoll {
     instance: usize,
-    life: u32,
-    asked: ClockTime,
+    incarnation: u32,
+    sent_at: ClockTime,
     /// The store's version that the asker knew.
-    since: Option<u64>,
+    known_version: Option<u64>,
     /// Whom it asks: an instance, or the store.
-    whom: Option<usize>,
-    answer: Option<ToldAnswer>,
+    target: Option<usize>,
+    response: Option<PollResponse>,
 }
 
 /// One instance.
 #[derive(Default)]
-struct Follower {
-    belief: VersionTracker,
-    life: u32,
+struct InstanceState {
+    tracker: VersionTracker,
+    incarnation: u32,
     /// The last version that the store told this life, readable or not.
-    since: Option<u64>,
+    known_version: Option<u64>,
     /// The highest version in force in this life, unless it was disowned.
-    highest: Option<u64>,
+    highest_version: Option<u64>,
     /// When the version in force was taken.
-    taken_at: ClockTime,
+    applied_at: ClockTime,
     /// Whether this life asked the instance that tells false versions.
-    was_misled: bool,
-    broken: Option<String>,
+    asked_faulty: bool,
+    violation: Option<String>,
 }
 
 /// All of it.
-pub struct World {
-    plant: Plant,
+pub struct FleetWorld {
+    fault: InjectedFault,
     now: ClockTime,
     stored: Vec<StoredVersion>,
-    followers: Vec<Follower>,
-    open: Vec<OpenQuestion>,
+    instances: Vec<InstanceState>,
+    open_polls: Vec<OpenPoll>,
 }
 
-impl World {
-    pub fn new(plant: Plant) -> Self {
+impl FleetWorld {
+    pub fn new(fault: InjectedFault) -> Self {
         let first = StoredVersion {
             version: 2,
             readable: true,
             at: ClockTime::from_millis(1_000),
         };
         Self {
-            plant,
+            fault,
             now: first.at,
             stored: vec![first],
-            followers: (0..INSTANCES).map(|_| Follower::default()).collect(),
-            open: Vec::new(),
+            instances: (0..INSTANCES).map(|_| InstanceState::default()).collect(),
+            open_polls: Vec::new(),
         }
     }
 
@@ -103,207 +103,210 @@
     pub fn step(&mut self, random: &mut fastrand::Rng) {
         self.now = self.now + ClockSpan::from_millis(random.u64(1..40));
         match random.u32(..16) {
-            0 => self.change(random),
+            0 => self.change_config(random),
             1 if random.u32(..6) == 0 => self.restart(random.usize(..INSTANCES)),
-            2..=5 => self.ask(random.usize(..INSTANCES), None),
+            2..=5 => self.send_poll(random.usize(..INSTANCES), None),
             6 | 7 => {
                 let asker = random.usize(..INSTANCES);
                 // The one after the last tells false versions.
-                let whom = random.usize(..=INSTANCES);
-                if whom != asker {
-                    self.ask(asker, Some(whom));
+                let target = random.usize(..=INSTANCES);
+                if target != asker {
+                    self.send_poll(asker, Some(target));
                 }
             }
-            8..=11 => self.answer(random),
-            12..=14 => self.deliver(random),
+            8..=11 => self.add_response(random),
+            12..=14 => self.deliver_response(random),
             _ => {
-                let lost = random.usize(..=self.open.len());
-                if lost < self.open.len() {
-                    self.open.swap_remove(lost);
+                let lost = random.usize(..=self.open_polls.len());
+                if lost < self.open_polls.len() {
+                    self.open_polls.swap_remove(lost);
                 }
             }
         }
     }
 
-    fn newest(&self) -> StoredVersion {
+    fn newest_row(&self) -> StoredVersion {
         *self.stored.last().expect("a first version")
     }
 
-    fn change(&mut self, random: &mut fastrand::Rng) {
+    fn change_config(&mut self, random: &mut fastrand::Rng) {
         let stored = StoredVersion {
-            version: self.newest().version + 2 * random.u64(1..4),
+            version: self.newest_row().version + 2 * random.u64(1..4),
             readable: random.u32(..5) > 0,
             at: self.now,
         };
         self.stored.push(stored);
     }
 
-    fn restart(&mut self, place: usize) {
-        let life = self.followers[place].life + 1;
-        self.followers[place] = Follower {
-            life,
-            ..Follower::default()
+    fn restart(&mut self, index: usize) {
+        let incarnation = self.instances[index].incarnation + 1;
+        self.instances[index] = InstanceState {
+            incarnation,
+            ..InstanceState::default()
         };
     }
 
-    fn ask(&mut self, instance: usize, whom: Option<usize>) {
-        let follower = &mut self.followers[instance];
-        follower.was_misled |= whom == Some(INSTANCES);
-        self.open.push(OpenQuestion {
+    fn send_poll(&mut self, instance: usize, target: Option<usize>) {
+        let state = &mut self.instances[instance];
+        state.asked_faulty |= target == Some(INSTANCES);
+        self.open_polls.push(OpenPoll {
             instance,
-            life: follower.life,
-            asked: self.now,
-            since: follower.since,
-            whom,
-            answer: None,
+            incarnation: state.incarnation,
+            sent_at: self.now,
+            known_version: state.known_version,
+            target,
+            response: None,
         });
     }
 
-    fn answer(&mut self, random: &mut fastrand::Rng) {
-        let waiting: Vec<usize> = (0..self.open.len())
-            .filter(|place| self.open[*place].answer.is_none())
+    fn add_response(&mut self, random: &mut fastrand::Rng) {
+        let waiting: Vec<usize> = (0..self.open_polls.len())
+            .filter(|index| self.open_polls[*index].response.is_none())
             .collect();
-        let Some(place) = random.choice(waiting) else {
+        let Some(index) = random.choice(waiting) else {
             return;
         };
-        let newest = self.newest();
-        let question = &self.open[place];
-        let answer = match question.whom {
-            None if question.since == Some(newest.version) => Some(ToldAnswer::Unchanged),
-            None => Some(ToldAnswer::Row(newest)),
+        let newest_row = self.newest_row();
+        let poll = &self.open_polls[index];
+        let response = match poll.target {
+            None if poll.known_version == Some(newest_row.version) => Some(PollResponse::Unchanged),
+            None => Some(PollResponse::Row(newest_row)),
             Some(INSTANCES) => {
-                let version = (newest.version + random.u64(..6)) | FALSE_BIT;
-                Some(ToldAnswer::Instance(version, ClockSpan::ZERO))
+                let version = (newest_row.version + random.u64(..6)) | FALSE_BIT;
+                Some(PollResponse::Instance(version, ClockSpan::ZERO))
             }
-            Some(whom) => self.tell(whom),
+            Some(target) => self.response_of(target),
         };
-        self.open[place].answer = answer;
+        self.open_polls[index].response = response;
     }
 
     /// What an instance tells another one.
-    fn tell(&self, whom: usize) -> Option<ToldAnswer> {
-        let belief = &self.followers[whom].belief;
-        let version = match self.plant {
-            Plant::HandsOnHearsay => belief.version(),
-            _ => belief.confirmed_version(),
+    fn response_of(&self, target: usize) -> Option<PollResponse> {
+        let tracker = &self.instances[target].tracker;
+        let version = match self.fault {
+            InjectedFault::SendsUnconfirmed => tracker.version(),
+            _ => tracker.confirmed_version(),
         };
-        Some(ToldAnswer::Instance(version?, belief.age().at(self.now)?))
+        Some(PollResponse::Instance(
+            version?,
+            tracker.age().at(self.now)?,
+        ))
     }
 
-    fn deliver(&mut self, random: &mut fastrand::Rng) {
-        let answered: Vec<usize> = (0..self.open.len())
-            .filter(|place| self.open[*place].answer.is_some())
+    fn deliver_response(&mut self, random: &mut fastrand::Rng) {
+        let with_response: Vec<usize> = (0..self.open_polls.len())
+            .filter(|index| self.open_polls[*index].response.is_some())
             .collect();
-        let Some(place) = random.choice(answered) else {
+        let Some(index) = random.choice(with_response) else {
             return;
         };
-        let question = self.open.swap_remove(place);
-        if self.followers[question.instance].life == question.life {
-            self.take(&question);
+        let poll = self.open_polls.swap_remove(index);
+        if self.instances[poll.instance].incarnation == poll.incarnation {
+            self.apply_response(&poll);
         }
     }
 
-    fn take(&mut self, question: &OpenQuestion) {
-        let plant = self.plant;
+    fn apply_response(&mut self, poll: &OpenPoll) {
+        let fault = self.fault;
         let now = self.now;
-        let follower = &mut self.followers[question.instance];
-        let asked = match plant {
-            Plant::CountsFromReading => now,
-            _ => question.asked,
+        let state = &mut self.instances[poll.instance];
+        let sent_at = match fault {
+            InjectedFault::CountsAgeFromReceipt => now,
+            _ => poll.sent_at,
         };
-        let belief = &mut follower.belief;
-        let tell = |belief: &mut VersionTracker, row: StoredVersion, asked| {
+        let tracker = &mut state.tracker;
+        let apply_row = |tracker: &mut VersionTracker, row: StoredVersion, sent_at| {
             // Versions rise with the rows that hold them.
-            belief.store_answered(row.version, row.version, asked, now)
+            tracker.store_answered(row.version, row.version, sent_at, now)
         };
-        let step = match question.answer.expect("an answer") {
-            ToldAnswer::Row(row) => {
-                follower.since = follower.since.max(Some(row.version));
+        let action = match poll.response.expect("an answer") {
+            PollResponse::Row(row) => {
+                state.known_version = state.known_version.max(Some(row.version));
                 match row.readable {
-                    true if plant == Plant::TakesOlder => {
-                        let step = tell(belief, row, asked);
-                        if step == ConfigAction::Keep {
-                            *belief = VersionTracker::default();
-                            tell(belief, row, asked);
+                    true if fault == InjectedFault::AppliesOlder => {
+                        let action = apply_row(tracker, row, sent_at);
+                        if action == ConfigAction::Keep {
+                            *tracker = VersionTracker::default();
+                            apply_row(tracker, row, sent_at);
                         }
-                        step
+                        action
                     }
-                    true if plant == Plant::KeepsFalseVersion => {
+                    true if fault == InjectedFault::KeepsFalseVersion => {
                         // Without the time at which it was asked nothing is disowned.
-                        tell(belief, row, ClockTime::default())
+                        apply_row(tracker, row, ClockTime::default())
                     }
-                    true => tell(belief, row, asked),
-                    false if plant == Plant::PassesOverUnreadable => ConfigAction::Keep,
+                    true => apply_row(tracker, row, sent_at),
+                    false if fault == InjectedFault::IgnoresUnreadable => ConfigAction::Keep,
                     false => {
-                        belief.store_unreadable(row.version);
+                        tracker.store_unreadable(row.version);
                         ConfigAction::Keep
                     }
                 }
             }
-            ToldAnswer::Unchanged => belief.store_unchanged(asked, now),
-            ToldAnswer::Instance(version, age) => {
-                belief.instance_answered(version, age, asked, now)
+            PollResponse::Unchanged => tracker.store_unchanged(sent_at, now),
+            PollResponse::Instance(version, age) => {
+                tracker.instance_answered(version, age, sent_at, now)
             }
         };
-        self.judge(question, step);
+        self.check_response(poll, action);
     }
 
     /// Looks at what an answer did.
-    fn judge(&mut self, question: &OpenQuestion, step: ConfigAction) {
+    fn check_response(&mut self, poll: &OpenPoll, action: ConfigAction) {
         let stored = &self.stored;
         let exists = |version: u64| stored.iter().any(|held| held.version == version);
-        let follower = &mut self.followers[question.instance];
-        let version = follower.belief.version();
-        if step == ConfigAction::Revert {
-            if follower.highest.is_some_and(exists) {
-                follower.broken = Some("a version that the store has was disowned".into());
+        let state = &mut self.instances[poll.instance];
+        let version = state.tracker.version();
+        if action == ConfigAction::Revert {
+            if state.highest_version.is_some_and(exists) {
+                state.violation = Some("a version that the store has was disowned".into());
             }
-            follower.highest = version;
-            follower.taken_at = self.now;
+            state.highest_version = version;
+            state.applied_at = self.now;
         }
-        if version < follower.highest {
-            follower.broken = Some("an older version came back into force".into());
+        if version < state.highest_version {
+            state.violation = Some("an older version came back into force".into());
         }
-        if version != follower.highest {
-            follower.taken_at = self.now;
+        if version != state.highest_version {
+            state.applied_at = self.now;
         }
-        follower.highest = version;
-        if let (None, Some(ToldAnswer::Row(row))) = (question.whom, question.answer) {
+        state.highest_version = version;
+        if let (None, Some(PollResponse::Row(row))) = (poll.target, poll.response) {
             if row.readable && version < Some(row.version) {
-                follower.broken = Some("what the store told is not in force".into());
+                state.violation = Some("what the store told is not in force".into());
             }
-            let asked_since = question.asked > follower.taken_at;
-            if row.readable && asked_since && version.is_some_and(|held| !exists(held)) {
-                follower.broken = Some("what the store does not have stays in force".into());
+            let sent_since = poll.sent_at > state.applied_at;
+            if row.readable && sent_since && version.is_some_and(|held| !exists(held)) {
+                state.violation = Some("what the store does not have stays in force".into());
             }
         }
     }
 
     /// The promises, of every instance.
     pub fn check(&self) -> Result<(), String> {
-        for (place, follower) in self.followers.iter().enumerate() {
-            let told = |broken: &str| Err(format!("instance {place}: {broken}"));
-            if let Some(broken) = &follower.broken {
-                return told(broken);
+        for (index, state) in self.instances.iter().enumerate() {
+            let fail = |violation: &str| Err(format!("instance {index}: {violation}"));
+            if let Some(violation) = &state.violation {
+                return fail(violation);
             }
-            let belief = &follower.belief;
+            let tracker = &state.tracker;
             let is_false = |version: u64| version & FALSE_BIT != 0;
-            if belief.confirmed_version().is_some_and(is_false) {
-                return told("a false version counts as the store's");
+            if tracker.confirmed_version().is_some_and(is_false) {
+                return fail("a false version counts as the store's");
             }
-            if belief.version().is_some_and(is_false) && !follower.was_misled {
-                return told("a false version came on from an instance that heard it");
+            if tracker.version().is_some_and(is_false) && !state.asked_faulty {
+                return fail("a false version came on from an instance that heard it");
             }
             let (Some(version), Some(age)) =
-                (belief.confirmed_version(), belief.age().at(self.now))
+                (tracker.confirmed_version(), tracker.age().at(self.now))
             else {
                 continue;
             };
-            let checked = self.now.as_millis() - age.as_millis();
-            let checked = ClockTime::from_millis(checked);
-            let newer = |held: &&StoredVersion| held.version > version && held.at < checked;
+            let confirmed_at = self.now.as_millis() - age.as_millis();
+            let confirmed_at = ClockTime::from_millis(confirmed_at);
+            let newer = |held: &&StoredVersion| held.version > version && held.at < confirmed_at;
             if self.stored.iter().any(|held| newer(&held)) {
-                return told("it counts as the newest at a time at which it was not");
+                return fail("it counts as the newest at a time at which it was not");
             }
         }
         Ok(())
--- a/crates/guavawell-core/tests/forward/plan.rs
+++ b/crates/guavawell-core/tests/forward/attempt.rs
@@ -15,32 +15,32 @@
 ];
 
 #[test]
-fn a_request_that_may_run_once_goes_on_only_after_proof() {
+fn a_request_that_may_run_once_is_retried_only_if_it_did_not_run() {
     for end in ENDS {
-        let proof = matches!(end, AttemptEnd::NotSent | AttemptEnd::Rejected);
-        let again = next_step(RetrySafety::Once, end, true) == NextStep::Retry;
-        assert_eq!(again, proof, "{end:?}");
+        let did_not_run = matches!(end, AttemptEnd::NotSent | AttemptEnd::Rejected);
+        let is_retried = next_step(RetrySafety::Once, end, true) == NextStep::Retry;
+        assert_eq!(is_retried, did_not_run, "{end:?}");
     }
 }
 
 #[test]
-fn others_go_on_while_there_is_room() {
-    for repeat in [RetrySafety::Idempotent, RetrySafety::Resumable] {
+fn other_requests_are_retried_while_limits_allow() {
+    for retry_safety in [RetrySafety::Idempotent, RetrySafety::Resumable] {
         for end in ENDS {
-            assert_eq!(next_step(repeat, end, true), NextStep::Retry);
-            assert_ne!(next_step(repeat, end, false), NextStep::Retry);
+            assert_eq!(next_step(retry_safety, end, true), NextStep::Retry);
+            assert_ne!(next_step(retry_safety, end, false), NextStep::Retry);
         }
     }
 }
 
 #[test]
-fn a_servers_own_failure_is_handed_on() {
+fn an_error_response_of_a_server_is_relayed() {
     let step = next_step(RetrySafety::Once, AttemptEnd::Failed, false);
     assert_eq!(step, NextStep::Relay);
 }
 
 #[test]
-fn no_status_denies_a_run_that_may_have_been() {
+fn no_status_claims_that_a_request_did_not_run_that_may_have_run() {
     let refusals = [
         ForwardRefusal::NoServer,
         ForwardRefusal::ServersFull,
--- a/crates/guavawell-core/tests/forward/charge.rs
+++ b/crates/guavawell-core/tests/forward/charge.rs
@@ -19,7 +19,7 @@
 /// Guards against budgets that end early: the prompts of those beside a crash
 /// were charged, though their callers got nothing and asked again.
 #[test]
-fn whoever_got_nothing_because_servers_broke_off_pays_nothing() {
+fn a_request_that_servers_broke_off_before_its_first_event_is_free() {
     use AttemptEnd::Failed;
     use AttemptEnd::Lost;
     use AttemptEnd::NotSent;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_was_delivered_is_paid_with_its_prompt() {
+fn delivered_events_are_charged_with_the_prompt() {
     for ends in [&[AttemptEnd::Lost][..], &[AttemptEnd::Silent]] {
         assert_eq!(charge(true, ends, 1), RequestCharge::Consumed, "{ends:?}");
     }
@@ -46,7 +46,7 @@
 /// Time that ran out at a silent server may have been work all along; a prompt
 /// that costs nothing then would invite short limits.
 #[test]
-fn time_that_ran_out_at_a_server_is_paid() {
+fn a_request_that_timed_out_at_a_server_is_charged() {
     for ends in [
         &[AttemptEnd::Silent][..],
         &[AttemptEnd::Silent, AttemptEnd::Lost],
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_has_not_run_pays_nothing() {
+fn a_request_that_did_not_run_is_free() {
     for end in [
         AttemptEnd::NotSent,
         AttemptEnd::Rejected,
--- a/crates/guavawell-core/tests/forward/congestion.rs
+++ b/crates/guavawell-core/tests/forward/congestion.rs
@@ -9,11 +9,11 @@
 use crate::support::START;
 
 /// Load of one organisation's callers, as a multiple of what the link carries.
-const PRESSED: f64 = 1.8;
+const OVERLOAD: f64 = 1.8;
 /// Requests that the link carries in a second.
-const CARRIED: f64 = 150.0;
+const LINK_RATE: f64 = 150.0;
 /// Length of the queue before the link, in seconds of what it carries.
-const QUEUE: f64 = 0.5;
+const QUEUE_SECONDS: f64 = 0.5;
 
 fn later(millis: u64) -> ClockTime {
     START + ClockSpan::from_millis(millis)
@@ -27,27 +27,31 @@
 /// connection waits as long as the queue is. Callers press from 2 to 8 s; where
 /// the instance is not ready, those beyond the usual go elsewhere. Returns the
 /// share of the pressed seconds in which the queue was full.
-fn full_share(heeded: bool) -> f64 {
+fn full_share(balancer_follows: bool) -> f64 {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     let (mut queue, mut full, mut steps) = (0.0, 0.0, 0.0);
     for step in 0..1_000 {
         let now = later(step * 10);
-        let pressed = (200..800).contains(&step);
-        let away = heeded && link.is_full(now);
-        let load = if pressed && !away { PRESSED } else { 0.6 };
-        queue = (queue + (load - 1.0) * CARRIED / 100.0).clamp(0.0, QUEUE * CARRIED);
-        let waits_ms = queue / CARRIED * 1_000.0;
+        let overloaded = (200..800).contains(&step);
+        let redirected = balancer_follows && link.is_full(now);
+        let load = if overloaded && !redirected {
+            OVERLOAD
+        } else {
+            0.6
+        };
+        queue = (queue + (load - 1.0) * LINK_RATE / 100.0).clamp(0.0, QUEUE_SECONDS * LINK_RATE);
+        let waits_ms = queue / LINK_RATE * 1_000.0;
         link.connected(span(2 + whole(waits_ms)), now);
-        if pressed {
+        if overloaded {
             steps += 1.0;
-            full += f64::from(u8::from(queue >= QUEUE * CARRIED * 0.9));
+            full += f64::from(u8::from(queue >= QUEUE_SECONDS * LINK_RATE * 0.9));
         }
     }
     full / steps
 }
 
 #[test]
-fn callers_that_are_sent_elsewhere_leave_the_link_open() {
+fn reporting_not_ready_relieves_a_full_link() {
     let (before, with) = (full_share(false), full_share(true));
     println!("full {before:.2} of the time, {with:.2} where it is not ready");
     assert!(before > 0.8, "{before}");
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn a_short_burst_sends_nobody_away() {
+fn a_short_burst_does_not_make_the_link_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..140 {
         link.connected(span(300), later(step * 10));
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn one_quick_connection_shows_that_the_link_is_not_full() {
+fn one_fast_connection_shows_that_the_link_is_not_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
         link.connected(span(300), later(step * 10));
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn servers_of_which_some_are_slow_do_not_count() {
+fn some_slow_servers_do_not_make_the_link_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..600 {
         let took = if step % 3 == 0 { 2 } else { 900 };
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn dead_servers_alone_say_nothing_and_after_slow_connections_they_do() {
+fn timeouts_count_only_after_slow_connections() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..300 {
         link.late(later(step * 10));
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn an_instance_that_nobody_asks_is_ready_again() {
+fn an_instance_without_connections_becomes_ready_again() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
         link.connected(span(300), later(step * 10));
--- a/crates/guavawell-core/tests/forward/connect.rs
+++ b/crates/guavawell-core/tests/forward/connect.rs
@@ -12,49 +12,49 @@
 
 /// Plays tries that each take so long to be answered, or for ever; returns how
 /// many were answered within their limit.
-fn answered(tries: impl Iterator<Item = Option<u64>>) -> usize {
-    let mut pace = ConnectTimeout::default();
+fn count_connected(attempts: impl Iterator<Item = Option<u64>>) -> usize {
+    let mut timeout = ConnectTimeout::default();
     let mut count = 0;
-    for took in tries {
-        let limit = pace.limit(&SETTINGS).as_millis();
+    for took in attempts {
+        let limit = timeout.limit(&SETTINGS).as_millis();
         if took.is_some_and(|took| took <= limit) {
-            pace.answered(ClockSpan::from_millis(took.unwrap_or(0)));
+            timeout.answered(ClockSpan::from_millis(took.unwrap_or(0)));
             count += 1;
         } else {
-            pace.timed_out();
+            timeout.timed_out();
         }
     }
     count
 }
 
 #[test]
-fn a_full_link_slows_connections_and_ends_none_for_long() {
+fn the_timeout_grows_until_connections_over_a_full_link_succeed() {
     // Opening packets wait 400 ms behind request bodies: the limit that finds a
     // dead server would make no connection at all.
-    let served = answered((0..100).map(|_| Some(400)));
-    assert!(served >= 90, "{served} of 100");
+    let connected = count_connected((0..100).map(|_| Some(400)));
+    assert!(connected >= 90, "{connected} of 100");
 }
 
 #[test]
-fn a_third_of_the_servers_dead_leaves_the_limit_as_it_is() {
-    let mut pace = ConnectTimeout::default();
+fn a_third_of_the_servers_dead_does_not_raise_the_timeout() {
+    let mut timeout = ConnectTimeout::default();
     for number in 0..300 {
-        assert!(pace.limit(&SETTINGS) <= SETTINGS.min_timeout);
+        assert!(timeout.limit(&SETTINGS) <= SETTINGS.min_timeout);
         match number % 3 {
-            0 => pace.timed_out(),
-            _ => pace.answered(ClockSpan::from_millis(2)),
+            0 => timeout.timed_out(),
+            _ => timeout.answered(ClockSpan::from_millis(2)),
         }
     }
 }
 
 #[test]
-fn the_limit_is_bounded_and_back_after_a_quick_answer() {
-    let mut pace = ConnectTimeout::default();
+fn the_timeout_is_bounded_and_falls_after_a_fast_connection() {
+    let mut timeout = ConnectTimeout::default();
     for _ in 0..1_000 {
-        pace.timed_out();
-        assert!(pace.limit(&SETTINGS) <= SETTINGS.max_timeout);
+        timeout.timed_out();
+        assert!(timeout.limit(&SETTINGS) <= SETTINGS.max_timeout);
     }
-    assert_eq!(pace.limit(&SETTINGS), SETTINGS.max_timeout);
-    pace.answered(ClockSpan::from_millis(2));
-    assert_eq!(pace.limit(&SETTINGS), SETTINGS.min_timeout);
+    assert_eq!(timeout.limit(&SETTINGS), SETTINGS.max_timeout);
+    timeout.answered(ClockSpan::from_millis(2));
+    assert_eq!(timeout.limit(&SETTINGS), SETTINGS.min_timeout);
 }
--- a/crates/guavawell-core/tests/forward/lives.rs
+++ b/crates/guavawell-core/tests/forward/incarnation.rs
@@ -6,59 +6,59 @@
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerTable;
 
-use crate::support::Ask;
 use crate::support::START;
-use crate::support::born;
+use crate::support::TestRequest;
 use crate::support::choose;
 use crate::support::entry;
+use crate::support::server_started_at;
 
-const ASK: Ask = Ask {
+const REQUEST: TestRequest = TestRequest {
     part: 7,
     shared: 4_000,
     input: 5_000,
 };
 
-fn one(incarnation: &ServerIncarnation) -> ServerTable {
+fn table_with(incarnation: &ServerIncarnation) -> ServerTable {
     let mut table = ServerTable::default();
     assert_eq!(table.upsert(entry(incarnation.clone())), None);
     table
 }
 
 #[test]
-fn a_new_life_begins_with_nothing() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&first);
-    let held = table.get_mut(&first).expect("listed");
-    held.begin(START, 9_000, 9_000);
-    held.report(START, 8, 4);
-    held.record_connect_failure(START);
+fn a_new_incarnation_starts_without_load_or_failures() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&first);
+    let entry_mut = table.get_mut(&first).expect("listed");
+    entry_mut.begin(START, 9_000, 9_000);
+    entry_mut.report(START, 8, 4);
+    entry_mut.record_connect_failure(START);
     for _ in 0..20 {
-        held.rate(START, true);
+        entry_mut.rate(START, true);
     }
     assert_eq!(table.upsert(entry(second.clone())), Some(first));
     assert_eq!(table.get(&second), Some(&entry(second.clone())));
 }
 
 #[test]
-fn a_server_that_left_serves_again_once_it_was_born_again() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&first);
+fn a_server_that_shut_down_serves_again_after_a_restart() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&first);
     table.remove(&first, ServerPhase::Leaving);
     table.upsert(entry(first));
     assert_eq!(
-        choose(&table, ASK, START),
+        choose(&table, REQUEST, START),
         None,
         "a leaving life never comes back"
     );
     table.upsert(entry(second.clone()));
-    let pick = choose(&table, ASK, START).expect("the new life serves");
+    let pick = choose(&table, REQUEST, START).expect("the new life serves");
     assert_eq!(pick.server, second);
 }
 
 #[test]
-fn what_is_told_late_of_a_former_life_changes_nothing() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&second);
+fn a_late_entry_of_an_earlier_incarnation_changes_nothing() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&second);
     let late = ServerEntry {
         phase: ServerPhase::Leaving,
         slots: 1,
@@ -74,86 +74,86 @@
 }
 
 #[test]
-fn a_former_life_does_not_come_back_after_the_later_one_was_forgotten() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&second);
+fn an_earlier_incarnation_does_not_come_back_after_the_later_one_was_removed() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&second);
     table.remove(&second, ServerPhase::Leaving);
     table.sweep(START);
     assert_eq!(table.servers().len(), 0);
     table.upsert(entry(first));
     assert_eq!(table.servers().len(), 0);
-    table.upsert(entry(born(0, 300)));
+    table.upsert(entry(server_started_at(0, 300)));
     assert_eq!(table.servers().len(), 1);
 }
 
 #[test]
-fn requests_of_a_former_life_leave_the_later_ones_count_alone() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&first);
+fn requests_of_an_earlier_incarnation_do_not_change_the_load_of_the_later_one() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&first);
     table.get_mut(&first).expect("listed").begin(START, 10, 10);
     table.upsert(entry(second.clone()));
     table.get_mut(&second).expect("listed").begin(START, 10, 10);
     // The former life's request ends now.
-    if let Some(held) = table.get_mut(&first) {
-        held.finish(10, 10);
+    if let Some(entry_mut) = table.get_mut(&first) {
+        entry_mut.finish(10, 10);
     }
     let load = table.get(&second).expect("listed").load;
     assert_eq!((load.in_flight, load.prefill_tokens), (1, 10));
 }
 
 #[test]
-fn a_request_may_go_to_the_new_life_of_a_server_that_it_was_sent_to() {
-    let (first, second) = (born(0, 100), born(0, 200));
-    let mut table = one(&first);
+fn a_request_may_go_to_the_new_incarnation_of_a_server_that_it_was_sent_to() {
+    let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
+    let mut table = table_with(&first);
     let tried = [first];
-    let pick = crate::support::choose_without(&table, ASK, START, &tried);
+    let pick = crate::support::choose_without(&table, REQUEST, START, &tried);
     assert_eq!(pick, None);
     table.upsert(entry(second.clone()));
-    let pick = crate::support::choose_without(&table, ASK, START, &tried);
+    let pick = crate::support::choose_without(&table, REQUEST, START, &tried);
     assert_eq!(pick.map(|pick| pick.server), Some(second));
 }
 
 #[test]
-fn an_unreadable_entry_names_no_server_until_a_readable_one_follows() {
-    let incarnation = born(0, 100);
-    let mut table = one(&incarnation);
+fn a_server_with_an_unreadable_entry_is_not_chosen_until_a_readable_one_follows() {
+    let incarnation = server_started_at(0, 100);
+    let mut table = table_with(&incarnation);
     table.remove(&incarnation, ServerPhase::Unreadable);
-    assert_eq!(choose(&table, ASK, START), None);
+    assert_eq!(choose(&table, REQUEST, START), None);
     table.upsert(entry(incarnation.clone()));
-    assert!(choose(&table, ASK, START).is_some());
+    assert!(choose(&table, REQUEST, START).is_some());
     // An unreadable entry that vanishes is not one that lapsed.
     table.remove(&incarnation, ServerPhase::Unreadable);
     let until = START + ClockSpan::from_millis(1_000);
     table.remove(&incarnation, ServerPhase::Lapsed(until));
-    assert_eq!(choose(&table, ASK, START), None);
+    assert_eq!(choose(&table, REQUEST, START), None);
 }
 
 #[test]
-fn servers_that_tell_no_birth_keep_one_life() {
+fn servers_without_a_start_time_keep_one_incarnation() {
     let incarnation = ServerIncarnation {
         born: None,
-        ..born(0, 0)
+        ..server_started_at(0, 0)
     };
-    let mut table = one(&incarnation);
+    let mut table = table_with(&incarnation);
     table
         .get_mut(&incarnation)
         .expect("listed")
         .begin(START, 10, 10);
     assert_eq!(table.upsert(entry(incarnation.clone())), None);
     assert_eq!(table.get(&incarnation).expect("listed").load.in_flight, 1);
-    assert!(choose(&table, ASK, START).is_some());
+    assert!(choose(&table, REQUEST, START).is_some());
 }
 
 #[test]
-fn an_entry_without_the_birth_that_its_server_told_is_not_its_own() {
-    let incarnation = born(0, 100);
+fn an_entry_without_the_start_time_that_earlier_ones_had_is_not_trusted() {
+    let incarnation = server_started_at(0, 100);
     let foreign = ServerIncarnation {
         born: None,
         ..incarnation.clone()
     };
-    let mut table = one(&incarnation);
+    let mut table = table_with(&incarnation);
     assert_eq!(table.upsert(entry(foreign)), None);
-    assert_eq!(choose(&table, ASK, START), None);
+    assert_eq!(choose(&table, REQUEST, START), None);
     table.upsert(entry(incarnation));
-    assert!(choose(&table, ASK, START).is_some());
+    assert!(choose(&table, REQUEST, START).is_some());
 }
--- a/crates/guavawell-core/tests/forward/load.rs
+++ b/crates/guavawell-core/tests/forward/load.rs
@@ -6,29 +6,29 @@
 use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerTable;
 
-use crate::support::Ask;
 use crate::support::START;
+use crate::support::TestRequest;
 use crate::support::choose;
 use crate::support::server;
 use crate::support::table;
 
 /// Prompt tokens that a server of the replay reads in a millisecond.
-const READ_PER_MS: u64 = 80;
+const PREFILL_TOKENS_PER_MS: u64 = 80;
 /// Servers of the replay.
 const SERVERS: usize = 18;
 
 /// What a replay found.
 #[derive(Default)]
-struct Outcome {
+struct ReplayOutcome {
     /// Times to the first token, in milliseconds.
     waits: Vec<u64>,
     /// Shared tokens read again.
-    reread: u64,
+    repeated_tokens: u64,
     /// Requests that reached a dark server.
     lost: usize,
 }
 
-impl Outcome {
+impl ReplayOutcome {
     fn p95(&mut self) -> u64 {
         self.waits.sort_unstable();
         self.waits[self.waits.len() * 95 / 100]
@@ -36,126 +36,134 @@
 }
 
 /// Servers that read prompts one after another and keep shared parts.
-struct Replay {
+struct ServerReplay {
     table: ServerTable,
     free_at: Vec<ClockTime>,
-    kept: Vec<Vec<u64>>,
-    dark: Vec<bool>,
+    cached: Vec<Vec<u64>>,
+    unresponsive: Vec<bool>,
     /// Requests that are still to begin: when, where, how many tokens.
-    open: Vec<(ClockTime, ServerIncarnation, u64, u64)>,
+    pending: Vec<(ClockTime, ServerIncarnation, u64, u64)>,
 }
 
-impl Replay {
-    fn new(dark: usize) -> Self {
+impl ServerReplay {
+    fn new(unresponsive: usize) -> Self {
         Self {
             table: table(SERVERS),
             free_at: vec![START; SERVERS],
-            kept: vec![Vec::new(); SERVERS],
-            dark: (0..SERVERS).map(|number| number < dark).collect(),
-            open: Vec::new(),
+            cached: vec![Vec::new(); SERVERS],
+            unresponsive: (0..SERVERS).map(|number| number < unresponsive).collect(),
+            pending: Vec::new(),
         }
     }
 
-    fn settle(&mut self, now: ClockTime) {
-        let (done, open): (Vec<_>, Vec<_>) =
-            self.open.drain(..).partition(|(begins, ..)| *begins <= now);
-        self.open = open;
-        for (begins, id, unread, memory) in done {
+    fn finish_prefills(&mut self, now: ClockTime) {
+        let (done, pending): (Vec<_>, Vec<_>) = self
+            .pending
+            .drain(..)
+            .partition(|(prefilled_at, ..)| *prefilled_at <= now);
+        self.pending = pending;
+        for (prefilled_at, id, predicted_prefill, cache) in done {
             let entry = self.table.get_mut(&id).expect("listed");
-            entry.health.last_received_at = entry.health.last_received_at.max(begins);
-            entry.finish(unread, memory);
+            entry.health.last_received_at = entry.health.last_received_at.max(prefilled_at);
+            entry.finish(predicted_prefill, cache);
         }
     }
 
     fn send(
         &mut self,
-        ask: Ask,
+        request: TestRequest,
         to: &ServerIncarnation,
-        unread: u64,
+        predicted_prefill: u64,
         now: ClockTime,
-        out: &mut Outcome,
+        out: &mut ReplayOutcome,
     ) {
         let number = (0..SERVERS)
             .find(|number| server(*number) == *to)
             .expect("listed");
-        let memory = ask.input;
+        let cache = request.input;
         let entry = self.table.get_mut(to).expect("listed");
-        entry.begin(now, unread, memory);
-        if self.dark[number] {
+        entry.begin(now, predicted_prefill, cache);
+        if self.unresponsive[number] {
             out.lost += 1;
             return;
         }
-        let known = self.kept[number].contains(&ask.part);
-        if !known {
-            if self.kept.iter().any(|parts| parts.contains(&ask.part)) {
-                out.reread += ask.shared;
+        let is_cached = self.cached[number].contains(&request.part);
+        if !is_cached {
+            if self
+                .cached
+                .iter()
+                .any(|parts| parts.contains(&request.part))
+            {
+                out.repeated_tokens += request.shared;
             }
-            self.kept[number].push(ask.part);
+            self.cached[number].push(request.part);
         }
-        let read = if known {
-            ask.input - ask.shared
+        let prefill = if is_cached {
+            request.input - request.shared
         } else {
-            ask.input
+            request.input
         };
-        let begins = self.free_at[number].max(now) + ClockSpan::from_millis(read / READ_PER_MS);
-        self.free_at[number] = begins;
-        out.waits.push(begins.since(now).as_millis());
-        self.open.push((begins, to.clone(), unread, memory));
+        let prefilled_at =
+            self.free_at[number].max(now) + ClockSpan::from_millis(prefill / PREFILL_TOKENS_PER_MS);
+        self.free_at[number] = prefilled_at;
+        out.waits.push(prefilled_at.since(now).as_millis());
+        self.pending
+            .push((prefilled_at, to.clone(), predicted_prefill, cache));
     }
 }
 
 /// Ten seconds of drafts, one every 25 ms.
 fn replay(
-    dark: usize,
+    unresponsive: usize,
     part_of: impl Fn(&mut fastrand::Rng) -> u64,
-    pick: impl Fn(&ServerTable, Ask, ClockTime, &mut fastrand::Rng) -> (ServerIncarnation, u64),
-) -> Outcome {
+    pick: impl Fn(&ServerTable, TestRequest, ClockTime, &mut fastrand::Rng) -> (ServerIncarnation, u64),
+) -> ReplayOutcome {
     let mut random = fastrand::Rng::with_seed(11);
-    let mut replay = Replay::new(dark);
-    let mut out = Outcome::default();
+    let mut replay = ServerReplay::new(unresponsive);
+    let mut out = ReplayOutcome::default();
     for millis in (0..10_000).step_by(25) {
         let now = START + ClockSpan::from_millis(millis);
-        replay.settle(now);
-        let ask = Ask {
+        replay.finish_prefills(now);
+        let request = TestRequest {
             part: part_of(&mut random),
             shared: 5_000,
             input: 5_000 + random.u64(2_000..12_000),
         };
-        let (to, unread) = pick(&replay.table, ask, now, &mut random);
-        replay.send(ask, &to, unread, now, &mut out);
+        let (to, predicted_prefill) = pick(&replay.table, request, now, &mut random);
+        replay.send(request, &to, predicted_prefill, now, &mut out);
     }
     out
 }
 
-fn ours(
+fn chosen_server(
     table: &ServerTable,
-    ask: Ask,
+    request: TestRequest,
     now: ClockTime,
     _: &mut fastrand::Rng,
 ) -> (ServerIncarnation, u64) {
-    let pick = choose(table, ask, now).expect("a server");
+    let pick = choose(table, request, now).expect("a server");
     (pick.server, pick.prefill_tokens)
 }
 
 /// The server with the fewest requests of this instance.
-fn least_load(
+fn least_loaded_server(
     table: &ServerTable,
-    ask: Ask,
+    request: TestRequest,
     _: ClockTime,
     random: &mut fastrand::Rng,
 ) -> (ServerIncarnation, u64) {
     let start = random.usize(..SERVERS);
     let entries = (0..SERVERS).map(|step| &table.servers()[(start + step) % SERVERS]);
     let best = entries.min_by_key(|entry| entry.load.in_flight);
-    (best.expect("a server").incarnation.clone(), ask.input)
+    (best.expect("a server").incarnation.clone(), request.input)
 }
 
 #[test]
-fn half_of_the_servers_dark_costs_a_few_requests_each() {
+fn half_of_the_servers_unresponsive_costs_a_few_requests_each() {
     let spread = |random: &mut fastrand::Rng| random.u64(..214);
-    let chosen = replay(SERVERS / 2, spread, ours);
-    let random_pick = replay(SERVERS / 2, spread, |_, ask, _, random| {
-        (server(random.usize(..SERVERS)), ask.input)
+    let chosen = replay(SERVERS / 2, spread, chosen_server);
+    let random_pick = replay(SERVERS / 2, spread, |_, request, _, random| {
+        (server(random.usize(..SERVERS)), request.input)
     });
     println!(
         "lost: {} of 400, {} at random",
@@ -165,33 +173,40 @@
 }
 
 #[test]
-fn shared_parts_are_read_again_seldom_and_nobody_waits_longer() {
+fn shared_parts_are_seldom_prefilled_again_and_waits_stay_short() {
     let spread = |random: &mut fastrand::Rng| random.u64(..60);
-    let mut chosen = replay(0, spread, ours);
-    let mut least = replay(0, spread, least_load);
+    let mut chosen = replay(0, spread, chosen_server);
+    let mut least = replay(0, spread, least_loaded_server);
     let (p95, least_p95) = (chosen.p95(), least.p95());
-    println!("read again: {} and {} tokens", chosen.reread, least.reread);
+    println!(
+        "read again: {} and {} tokens",
+        chosen.repeated_tokens, least.repeated_tokens
+    );
     println!("p95: {p95} and {least_p95} ms");
-    assert!(chosen.reread * 5 < least.reread);
+    assert!(chosen.repeated_tokens * 5 < least.repeated_tokens);
     assert!(p95 <= least_p95 * 3 / 2);
 }
 
 #[test]
-fn a_hot_prompt_spills_to_other_servers() {
-    let hot = |random: &mut fastrand::Rng| {
+fn a_popular_prompt_overflows_to_other_servers() {
+    let popular = |random: &mut fastrand::Rng| {
         if random.u32(..10) < 8 {
             1
         } else {
             random.u64(..60)
         }
     };
-    let mut chosen = replay(0, hot, ours);
-    let mut stuck = replay(0, hot, |table, ask, now, _| {
-        let calm = crate::support::table(SERVERS);
-        let home = choose(&calm, ask, now).expect("a server");
+    let mut chosen = replay(0, popular, chosen_server);
+    let mut preferred_only = replay(0, popular, |table, request, now, _| {
+        let idle = crate::support::table(SERVERS);
+        let preferred = choose(&idle, request, now).expect("a server");
         let _ = table;
-        (home.server, home.prefill_tokens)
+        (preferred.server, preferred.prefill_tokens)
     });
-    println!("p95 {} ms, {} ms at home alone", chosen.p95(), stuck.p95());
-    assert!(chosen.p95() * 3 < stuck.p95());
+    println!(
+        "p95 {} ms, {} ms at home alone",
+        chosen.p95(),
+        preferred_only.p95()
+    );
+    assert!(chosen.p95() * 3 < preferred_only.p95());
 }
--- a/crates/guavawell-core/tests/forward/main.rs
+++ b/crates/guavawell-core/tests/forward/main.rs
@@ -1,16 +1,16 @@
 //! Decisions on forwarded requests: routes, repeats, choice of a server, and
 //! replays of the worst loads.
 
+mod announcement;
+mod attempt;
 mod charge;
 mod choice;
 mod congestion;
 mod connect;
-mod fleet;
-mod lives;
+mod incarnation;
+mod large_fleet;
 mod load;
-mod plan;
-mod question;
-mod repeat;
+mod poll;
+mod retry;
 mod route;
 mod support;
-mod words;
--- a/crates/guavawell-core/tests/forward/repeat.rs
+++ b/crates/guavawell-core/tests/forward/retry.rs
@@ -8,7 +8,7 @@
 use crate::support::service;
 
 #[test]
-fn six_instances_together_stay_within_the_fleets_allowance_in_any_window() {
+fn six_instances_together_keep_to_the_allowance_of_the_fleet_in_any_window() {
     let settings = RetryLimits::default();
     let mut instances = vec![RetryAllowance::default(); settings.instances];
     let mut sent: Vec<(u64, bool)> = Vec::new();
@@ -29,27 +29,27 @@
     let window = settings.window.as_millis();
     for begin in (0..60_000).step_by(500) {
         let inside = |(at, _): &&(u64, bool)| (begin..begin + window).contains(at);
-        let repeats = sent
+        let retries = sent
             .iter()
             .filter(inside)
-            .filter(|(_, repeat)| *repeat)
+            .filter(|(_, is_retry)| *is_retry)
             .count();
         let requests = sent
             .iter()
             .filter(inside)
-            .filter(|(_, repeat)| !repeat)
+            .filter(|(_, is_retry)| !is_retry)
             .count();
-        let most = requests as u64 / 5 + 50;
+        let max_retries = requests as u64 / 5 + 50;
         assert!(
-            repeats as u64 <= most,
-            "{repeats} repeats of {requests} at {begin}"
+            retries as u64 <= max_retries,
+            "{retries} retries of {requests} at {begin}"
         );
     }
-    assert!(sent.iter().any(|(_, repeat)| *repeat));
+    assert!(sent.iter().any(|(_, is_retry)| *is_retry));
 }
 
 #[test]
-fn without_requests_only_the_shared_part_is_left() {
+fn without_requests_only_the_share_of_the_fixed_number_is_allowed() {
     let settings = RetryLimits::default();
     let mut allowance = RetryAllowance::default();
     let taken = (0..100).filter(|_| allowance.take(&service(), START, &settings));
--- a/crates/guavawell-core/tests/forward/route.rs
+++ b/crates/guavawell-core/tests/forward/route.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn token_counts_and_parts_are_read_or_refused() {
+fn token_counts_and_parts_are_parsed_or_rejected() {
     let usage: TokenUsage = "1460,80".parse().expect("counts");
     assert_eq!(usage.worst_case(), TokenCount::new(1_540));
     for malformed in ["", "1460", "1460,", "a,b", "-1,2", "1,2,3"] {
--- a/crates/guavawell-core/tests/forward/support.rs
+++ b/crates/guavawell-core/tests/forward/support.rs
@@ -38,11 +38,11 @@
 }
 
 pub fn server(number: usize) -> ServerIncarnation {
-    born(number, 1)
+    server_started_at(number, 1)
 }
 
 /// The life of a server that began at a time.
-pub fn born(number: usize, millis: u64) -> ServerIncarnation {
+pub fn server_started_at(number: usize, millis: u64) -> ServerIncarnation {
     ServerIncarnation {
         id: format!("i-{number:03}").parse().expect("a valid id"),
         born: Some(StartTime::from_millis(millis)),
@@ -79,19 +79,19 @@
 
 /// A request with a shared part.
 #[derive(Clone, Copy)]
-pub struct Ask {
+pub struct TestRequest {
     pub part: u64,
     pub shared: u64,
     pub input: u64,
 }
 
-pub fn choose(table: &ServerTable, ask: Ask, now: ClockTime) -> Option<ServerPick> {
-    choose_without(table, ask, now, &[])
+pub fn choose(table: &ServerTable, request: TestRequest, now: ClockTime) -> Option<ServerPick> {
+    choose_without(table, request, now, &[])
 }
 
 pub fn choose_without(
     table: &ServerTable,
-    ask: Ask,
+    request: TestRequest,
     now: ClockTime,
     tried: &[ServerIncarnation],
 ) -> Option<ServerPick> {
@@ -102,12 +102,12 @@
         engine: Some(ENGINE),
         zone: &zone,
         affinity: Some(PromptPart {
-            id: ask.part,
-            tokens: TokenCount::new(ask.shared),
+            id: request.part,
+            tokens: TokenCount::new(request.shared),
         }),
-        shared_tokens: ask.shared,
+        shared_tokens: request.shared,
         usage: TokenUsage {
-            input: TokenCount::new(ask.input),
+            input: TokenCount::new(request.input),
             output_limit: TokenCount::new(100),
         },
         tried,
