--- a/crates/guavawell-core/tests/forward/announcement.rs
+++ b/crates/guavawell-core/tests/forward/announcement.rs
@@ -33,14 +33,14 @@
 }
 
 fn leave(table: &mut ServerTable, number: usize) {
-    let entry_mut = table.get_mut(&server(number)).expect("listed");
-    assert!(entry_mut.record_leaving());
-    assert!(!entry_mut.record_leaving(), "it is told once");
+    let table_entry = table.get_mut(&server(number)).expect("listed");
+    assert!(table_entry.record_leaving());
+    assert!(!table_entry.record_leaving(), "it is told once");
 }
 
 fn pause(table: &mut ServerTable, number: usize, millis: u64) -> bool {
-    let entry_mut = table.get_mut(&server(number)).expect("listed");
-    entry_mut.pause(START, span(millis))
+    let table_entry = table.get_mut(&server(number)).expect("listed");
+    table_entry.pause(START, span(millis))
 }
 
 #[test]
@@ -110,9 +110,9 @@
 fn a_paused_server_gets_no_requests_and_is_preferred_again_afterwards() {
     let mut table = table(2);
     let preferred = choose(&table, REQUEST, START).expect("a server").server;
-    let entry_mut = table.get_mut(&preferred).expect("listed");
-    assert!(entry_mut.pause(START, span(1_500)));
-    assert!(!entry_mut.pause(START, span(500)), "the longer one holds");
+    let table_entry = table.get_mut(&preferred).expect("listed");
+    assert!(table_entry.pause(START, span(1_500)));
+    assert!(!table_entry.pause(START, span(500)), "the longer one holds");
     let other = choose(&table, REQUEST, later(1_499))
         .expect("the other")
         .server;
--- a/crates/guavawell-core/tests/forward/incarnation.rs
+++ b/crates/guavawell-core/tests/forward/incarnation.rs
@@ -28,12 +28,12 @@
 fn a_new_incarnation_starts_without_load_or_failures() {
     let (first, second) = (server_started_at(0, 100), server_started_at(0, 200));
     let mut table = table_with(&first);
-    let entry_mut = table.get_mut(&first).expect("listed");
-    entry_mut.begin(START, 9_000, 9_000);
-    entry_mut.report(START, 8, 4);
-    entry_mut.record_connect_failure(START);
+    let table_entry = table.get_mut(&first).expect("listed");
+    table_entry.begin(START, 9_000, 9_000);
+    table_entry.report(START, 8, 4);
+    table_entry.record_connect_failure(START);
     for _ in 0..20 {
-        entry_mut.rate(START, true);
+        table_entry.rate(START, true);
     }
     assert_eq!(table.upsert(entry(second.clone())), Some(first));
     assert_eq!(table.get(&second), Some(&entry(second.clone())));
@@ -94,8 +94,8 @@
     table.upsert(entry(second.clone()));
     table.get_mut(&second).expect("listed").begin(START, 10, 10);
     // The former life's request ends now.
-    if let Some(entry_mut) = table.get_mut(&first) {
-        entry_mut.finish(10, 10);
+    if let Some(table_entry) = table.get_mut(&first) {
+        table_entry.finish(10, 10);
     }
     let load = table.get(&second).expect("listed").load;
     assert_eq!((load.in_flight, load.prefill_tokens), (1, 10));
--- a/crates/guavawell-core/tests/forward/load.rs
+++ b/crates/guavawell-core/tests/forward/load.rs
@@ -72,19 +72,19 @@
     fn send(
         &mut self,
         request: TestRequest,
-        to: &ServerIncarnation,
+        target: &ServerIncarnation,
         predicted_prefill: u64,
         now: ClockTime,
-        out: &mut ReplayOutcome,
+        outcome: &mut ReplayOutcome,
     ) {
         let number = (0..SERVERS)
-            .find(|number| server(*number) == *to)
+            .find(|number| server(*number) == *target)
             .expect("listed");
         let cache = request.input;
-        let entry = self.table.get_mut(to).expect("listed");
+        let entry = self.table.get_mut(target).expect("listed");
         entry.begin(now, predicted_prefill, cache);
         if self.unresponsive[number] {
-            out.lost += 1;
+            outcome.lost += 1;
             return;
         }
         let is_cached = self.cached[number].contains(&request.part);
@@ -94,7 +94,7 @@
                 .iter()
                 .any(|parts| parts.contains(&request.part))
             {
-                out.repeated_tokens += request.shared;
+                outcome.repeated_tokens += request.shared;
             }
             self.cached[number].push(request.part);
         }
@@ -106,9 +106,9 @@
         let prefilled_at =
             self.free_at[number].max(now) + ClockSpan::from_millis(prefill / PREFILL_TOKENS_PER_MS);
         self.free_at[number] = prefilled_at;
-        out.waits.push(prefilled_at.since(now).as_millis());
+        outcome.waits.push(prefilled_at.since(now).as_millis());
         self.pending
-            .push((prefilled_at, to.clone(), predicted_prefill, cache));
+            .push((prefilled_at, target.clone(), predicted_prefill, cache));
     }
 }
 
@@ -120,7 +120,7 @@
 ) -> ReplayOutcome {
     let mut random = fastrand::Rng::with_seed(11);
     let mut replay = ServerReplay::new(unresponsive);
-    let mut out = ReplayOutcome::default();
+    let mut outcome = ReplayOutcome::default();
     for millis in (0..10_000).step_by(25) {
         let now = START + ClockSpan::from_millis(millis);
         replay.finish_prefills(now);
@@ -129,10 +129,10 @@
             shared: 5_000,
             input: 5_000 + random.u64(2_000..12_000),
         };
-        let (to, predicted_prefill) = pick(&replay.table, request, now, &mut random);
-        replay.send(request, &to, predicted_prefill, now, &mut out);
+        let (target, predicted_prefill) = pick(&replay.table, request, now, &mut random);
+        replay.send(request, &target, predicted_prefill, now, &mut outcome);
     }
-    out
+    outcome
 }
 
 fn chosen_server(
--- a/crates/guavawell-core/tests/forward/poll.rs
+++ b/crates/guavawell-core/tests/forward/poll.rs
@@ -4,9 +4,9 @@
 use guavawell_core::forward::PollTiming;
 
 /// What a connection and an answer take.
-const ANSWER_MS: u64 = 20;
+const RESPONSE_MS: u64 = 20;
 /// What an answer takes at a store that is sixty times slower than usual.
-const SLOW_ANSWER_MS: u64 = 240;
+const SLOW_RESPONSE_MS: u64 = 240;
 /// Bounds within which a change is to be in force.
 const BOUNDS_MS: [u64; 3] = [2_000, 3_000, 4_000];
 
@@ -22,10 +22,10 @@
     for first in (0..).step_by(2) {
         // The question itself, and the one beside it.
         if first >= unresponsive {
-            return started_ms + ANSWER_MS;
+            return started_ms + RESPONSE_MS;
         }
         if first + 1 >= unresponsive {
-            return started_ms + timing.hedge_after().as_millis() + ANSWER_MS;
+            return started_ms + timing.hedge_after().as_millis() + RESPONSE_MS;
         }
         started_ms += timing.poll_timeout().as_millis() + timing.fault_pause(u16::MAX).as_millis();
     }
@@ -45,7 +45,7 @@
 fn a_response_of_a_slow_store_is_not_overdue_and_a_missing_one_is_before_the_bound() {
     for bound in BOUNDS_MS {
         let timing = timing(bound);
-        let oldest_age = 2 * (timing.wait.as_millis() + SLOW_ANSWER_MS);
+        let oldest_age = 2 * (timing.wait.as_millis() + SLOW_RESPONSE_MS);
         let overdue_age = timing.overdue_after(1).as_millis();
         assert!(
             oldest_age < overdue_age,
