--- a/crates/guavawell-core/tests/config_belief/main.rs
+++ b/crates/guavawell-core/tests/config_belief/main.rs
@@ -1,6 +1,7 @@
-//! Random walks of instances that follow a configuration over a store and over
-//! each other: late and lost answers, restarts, rows that cannot be read, and an
-//! instance that tells versions that never were.
+//! Random simulations of instances that follow the configuration through the
+//! store and through each other, with late and lost responses, restarts, rows
+//! that cannot be decoded, and an instance that sends versions that never
+//! existed.
 
 mod world;
 
@@ -11,11 +12,11 @@
 use world::FleetWorld;
 use world::InjectedFault;
 
-/// Walks of the sound rules.
+/// Number of simulations without a fault.
 const SEEDS: u64 = 3_000;
-/// Walks among which a planted fault must show.
+/// Number of simulations among which an injected fault must be found.
 const FAULT_SEEDS: u64 = 3_000;
-/// Steps of a walk.
+/// Steps of a simulation.
 const STEPS: usize = 300;
 
 fn run_seed(seed: u64, fault: InjectedFault) -> Result<(), String> {
@@ -58,7 +59,7 @@
 }
 
 const OVERDUE_AGE: ClockSpan = ClockSpan::from_millis(1_700);
-/// Time after a question at which its answer is due.
+/// Time after a poll within which its response is due.
 const RESPONSE_DUE: ClockSpan = ClockSpan::from_millis(750);
 
 #[test]
@@ -66,8 +67,8 @@
     let mut tracker = VersionTracker::default();
     tracker.store_answered(1, 1, at(1_000), at(1_005));
     assert!(!tracker.age().is_awaited(OVERDUE_AGE, at(2_000)));
-    // The process does not run from 1,010 to 5,000; the answer to the question
-    // from before is read first.
+    // The process is suspended from 1,010 to 5,000. When it resumes, it first
+    // reads the response to the poll from before.
     assert!(tracker.age().is_awaited(OVERDUE_AGE, at(5_000)));
     tracker.store_unchanged(at(1_010), at(5_001));
     assert!(tracker.age().is_awaited(OVERDUE_AGE, at(5_001)));
@@ -79,13 +80,14 @@
 fn no_request_waits_while_the_store_is_known_not_to_respond() {
     let mut tracker = VersionTracker::default();
     tracker.store_answered(1, 1, at(1_000), at(1_005));
-    // The process ran, and the next question has no answer when it should.
+    // The process was running when the next poll timed out.
     tracker
         .age_mut()
         .unanswered(at(1_505), RESPONSE_DUE, at(2_255));
     assert!(!tracker.age().is_awaited(OVERDUE_AGE, at(3_000)));
     assert!(!tracker.age().is_awaited(OVERDUE_AGE, at(90_000)));
-    // It is back, and lost again later; the first wait then is in vain.
+    // The store responds again, and stops again later; the first request to
+    // wait then waits until its timeout.
     tracker.store_unchanged(at(90_000), at(90_005));
     assert!(tracker.age().is_awaited(OVERDUE_AGE, at(93_000)));
     tracker.age_mut().wait_timed_out();
@@ -99,7 +101,7 @@
     tracker
         .age_mut()
         .unanswered(at(1_505), RESPONSE_DUE, at(2_255));
-    // Another instance had its last answer a little later.
+    // The last response that another instance got came a little later.
     let age = ClockSpan::from_millis(2_700);
     tracker.instance_answered(1, age, at(4_000), at(4_005));
     assert_eq!(tracker.age().at(at(4_000)), Some(age));
@@ -110,7 +112,7 @@
 fn a_timeout_during_a_suspension_does_not_mark_the_store_unreachable() {
     let mut tracker = VersionTracker::default();
     tracker.store_answered(1, 1, at(1_000), at(1_005));
-    // The process does not run from 1,600 to 5,000.
+    // The process is suspended from 1,600 to 5,000.
     tracker
         .age_mut()
         .unanswered(at(1_505), RESPONSE_DUE, at(5_000));
--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -1,29 +1,29 @@
-//! A store, three instances that follow it and each other, and one more that
-//! tells false versions.
+//! A store, three instances that read from it and from each other, and a faulty
+//! instance that sends false versions.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::ConfigAction;
 use guavawell_core::forward::VersionTracker;
 
-/// Instances that keep to the rules.
+/// Number of correct instances.
 const INSTANCES: usize = 3;
-/// A version that the store never holds is odd.
+/// Set in false versions; versions of the store are even.
 const FALSE_BIT: u64 = 1;
 
-/// A fault in the rules, which the walks must find.
+/// A fault in the rules that the simulations must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     None,
-    /// An answer counts from when it was read.
+    /// A response confirms a version as of the time at which it was read.
     CountsAgeFromReceipt,
-    /// What another instance told is told on.
+    /// A version received from another instance is sent to further ones.
     SendsUnconfirmed,
-    /// A late answer takes an older version back into force.
+    /// A late response puts an older version into force again.
     AppliesOlder,
-    /// A row that cannot be read is passed over.
+    /// A row that cannot be decoded is ignored.
     IgnoresUnreadable,
-    /// What the store does not have stays in force.
+    /// A version that the store does not have stays in force.
     KeepsFalseVersion,
 }
 
@@ -35,25 +35,25 @@
     at: ClockTime,
 }
 
-/// What an answer tells.
+/// Content of a response.
 #[derive(Clone, Copy)]
 enum PollResponse {
-    /// The store's newest version, and whether it can be read.
+    /// The store's newest row.
     Row(StoredVersion),
-    /// Nothing has changed since the version that the asker knew.
+    /// Nothing has changed since the version that the poll named.
     Unchanged,
     /// Another instance's version and its age.
     Instance(u64, ClockSpan),
 }
 
-/// A question on its way, or its answer.
+/// A poll that was sent, with its response once there is one.
 struct OpenPoll {
     instance: usize,
     incarnation: u32,
     sent_at: ClockTime,
-    /// The store's version that the asker knew.
+    /// Newest version that the sender had read from the store.
     known_version: Option<u64>,
-    /// Whom it asks: an instance, or the store.
+    /// The polled instance; `None` for the store.
     target: Option<usize>,
     response: Option<PollResponse>,
 }
@@ -63,18 +63,20 @@
 struct InstanceState {
     tracker: VersionTracker,
     incarnation: u32,
-    /// The last version that the store told this life, readable or not.
+    /// Newest version that this incarnation read from the store, decodable or
+    /// not.
     known_version: Option<u64>,
-    /// The highest version in force in this life, unless it was disowned.
+    /// Highest version in force in this incarnation, without versions that the
+    /// store turned out not to have.
     highest_version: Option<u64>,
-    /// When the version in force was taken.
+    /// When the version in force was applied.
     applied_at: ClockTime,
-    /// Whether this life asked the instance that tells false versions.
+    /// Whether this incarnation polled the faulty instance.
     asked_faulty: bool,
     violation: Option<String>,
 }
 
-/// All of it.
+/// The simulated store and instances.
 pub struct FleetWorld {
     fault: InjectedFault,
     now: ClockTime,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Takes one step at random.
+    /// Takes one random step.
     pub fn step(&mut self, random: &mut fastrand::Rng) {
         self.now = self.now + ClockSpan::from_millis(random.u64(1..40));
         match random.u32(..16) {
@@ -108,7 +110,7 @@
             2..=5 => self.send_poll(random.usize(..INSTANCES), None),
             6 | 7 => {
                 let asker = random.usize(..INSTANCES);
-                // The one after the last tells false versions.
+                // One past the last instance is the faulty one.
                 let target = random.usize(..=INSTANCES);
                 if target != asker {
                     self.send_poll(asker, Some(target));
@@ -180,7 +182,7 @@
         self.open_polls[index].response = response;
     }
 
-    /// What an instance tells another one.
+    /// The response of an instance to another one.
     fn response_of(&self, target: usize) -> Option<PollResponse> {
         let tracker = &self.instances[target].tracker;
         let version = match self.fault {
@@ -216,10 +218,10 @@
         };
         let tracker = &mut state.tracker;
         let apply_row = |tracker: &mut VersionTracker, row: StoredVersion, sent_at| {
-            // Versions rise with the rows that hold them.
+            // In the simulation, rows have the version as their revision.
             tracker.store_answered(row.version, row.version, sent_at, now)
         };
-        let action = match poll.response.expect("an answer") {
+        let action = match poll.response.expect("a response") {
             PollResponse::Row(row) => {
                 state.known_version = state.known_version.max(Some(row.version));
                 match row.readable {
@@ -232,7 +234,8 @@
                         action
                     }
                     true if fault == InjectedFault::KeepsFalseVersion => {
-                        // Without the time at which it was asked nothing is disowned.
+                        // A poll sent before the version in force was
+                        // applied never reverts it.
                         apply_row(tracker, row, ClockTime::default())
                     }
                     true => apply_row(tracker, row, sent_at),
@@ -251,7 +254,7 @@
         self.check_response(poll, action);
     }
 
-    /// Looks at what an answer did.
+    /// Checks the effect of a response.
     fn check_response(&mut self, poll: &OpenPoll, action: ConfigAction) {
         let stored = &self.stored;
         let exists = |version: u64| stored.iter().any(|held| held.version == version);
@@ -259,7 +262,7 @@
         let version = state.tracker.version();
         if action == ConfigAction::Revert {
             if state.highest_version.is_some_and(exists) {
-                state.violation = Some("a version that the store has was disowned".into());
+                state.violation = Some("a version that the store has was rejected".into());
             }
             state.highest_version = version;
             state.applied_at = self.now;
@@ -273,16 +276,17 @@
         state.highest_version = version;
         if let (None, Some(PollResponse::Row(row))) = (poll.target, poll.response) {
             if row.readable && version < Some(row.version) {
-                state.violation = Some("what the store told is not in force".into());
+                state.violation = Some("the version read from the store is not in force".into());
             }
             let sent_since = poll.sent_at > state.applied_at;
             if row.readable && sent_since && version.is_some_and(|held| !exists(held)) {
-                state.violation = Some("what the store does not have stays in force".into());
+                state.violation =
+                    Some("a version that the store does not have stays in force".into());
             }
         }
     }
 
-    /// The promises, of every instance.
+    /// Checks the guarantees at every instance.
     pub fn check(&self) -> Result<(), String> {
         for (index, state) in self.instances.iter().enumerate() {
             let fail = |violation: &str| Err(format!("instance {index}: {violation}"));
@@ -292,10 +296,10 @@
             let tracker = &state.tracker;
             let is_false = |version: u64| version & FALSE_BIT != 0;
             if tracker.confirmed_version().is_some_and(is_false) {
-                return fail("a false version counts as the store's");
+                return fail("a false version counts as read from the store");
             }
             if tracker.version().is_some_and(is_false) && !state.asked_faulty {
-                return fail("a false version came on from an instance that heard it");
+                return fail("a false version was passed on by a correct instance");
             }
             let (Some(version), Some(age)) =
                 (tracker.confirmed_version(), tracker.age().at(self.now))
@@ -306,7 +310,7 @@
             let confirmed_at = ClockTime::from_millis(confirmed_at);
             let newer = |held: &&StoredVersion| held.version > version && held.at < confirmed_at;
             if self.stored.iter().any(|held| newer(&held)) {
-                return fail("it counts as the newest at a time at which it was not");
+                return fail("the version counts as the newest at a time when it was not");
             }
         }
         Ok(())
--- a/crates/guavawell-core/tests/forward/announcement.rs
+++ b/crates/guavawell-core/tests/forward/announcement.rs
@@ -1,5 +1,5 @@
-//! What servers say of themselves: that they leave, and that they want no
-//! requests for a time.
+//! What servers announce: that they shut down, and that they want no requests
+//! for a time.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -35,7 +35,10 @@
 fn leave(table: &mut ServerTable, number: usize) {
     let table_entry = table.get_mut(&server(number)).expect("listed");
     assert!(table_entry.record_leaving());
-    assert!(!table_entry.record_leaving(), "it is told once");
+    assert!(
+        !table_entry.record_leaving(),
+        "the announcement is recorded once"
+    );
 }
 
 fn pause(table: &mut ServerTable, number: usize, millis: u64) -> bool {
@@ -49,7 +52,8 @@
     leave(&mut table, 0);
     table.upsert(entry(server(0)));
     assert_eq!(choose(&table, REQUEST, START), None);
-    // Nor once the server was forgotten, nor after its entry lapsed.
+    // It is not chosen either after it was removed from the table, or after its
+    // entry lapsed.
     table.sweep(START);
     assert!(table.servers().is_empty());
     table.upsert(entry(server(0)));
@@ -88,7 +92,7 @@
     table.sweep(START);
     let next = server_started_at(0, 2);
     table.upsert(entry(next.clone()));
-    let pick = choose(&table, REQUEST, START).expect("the next life");
+    let pick = choose(&table, REQUEST, START).expect("the next incarnation");
     assert_eq!(pick.server, next);
 }
 
@@ -112,15 +116,18 @@
     let preferred = choose(&table, REQUEST, START).expect("a server").server;
     let table_entry = table.get_mut(&preferred).expect("listed");
     assert!(table_entry.pause(START, span(1_500)));
-    assert!(!table_entry.pause(START, span(500)), "the longer one holds");
+    assert!(
+        !table_entry.pause(START, span(500)),
+        "the longer pause applies"
+    );
     let other = choose(&table, REQUEST, later(1_499))
-        .expect("the other")
+        .expect("the other server")
         .server;
     assert_ne!(other, preferred);
     let back = choose(&table, REQUEST, later(1_500))
         .expect("a server")
         .server;
-    assert_eq!(back, preferred, "nothing is held against it");
+    assert_eq!(back, preferred, "a pause is not a failure");
 }
 
 #[test]
--- a/crates/guavawell-core/tests/forward/attempt.rs
+++ b/crates/guavawell-core/tests/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt, and what an answer may promise.
+//! What follows an attempt, and what the status of a refusal promises.
 
 use guavawell_core::forward::AttemptEnd;
 use guavawell_core::forward::ForwardRefusal;
--- a/crates/guavawell-core/tests/forward/charge.rs
+++ b/crates/guavawell-core/tests/forward/charge.rs
@@ -1,4 +1,4 @@
-//! What requests pay that end without their whole answer.
+//! What requests are charged that end without their complete response.
 
 use guavawell_core::forward::AttemptEnd;
 use guavawell_core::forward::RequestCharge;
@@ -16,8 +16,9 @@
     outcome.charge()
 }
 
-/// Guards against budgets that end early: the prompts of those beside a crash
-/// were charged, though their callers got nothing and asked again.
+/// Guards against budgets that run out early: when a server crashed, the
+/// prompts of all requests that it ran were charged, although their callers
+/// received nothing and sent them again.
 #[test]
 fn a_request_that_servers_broke_off_before_its_first_event_is_free() {
     use AttemptEnd::Failed;
@@ -43,8 +44,8 @@
     }
 }
 
-/// Time that ran out at a silent server may have been work all along; a prompt
-/// that costs nothing then would invite short limits.
+/// A server that sent nothing until the timeout may have worked for all of that
+/// time. If its prompt were free, callers would profit from short timeouts.
 #[test]
 fn a_request_that_timed_out_at_a_server_is_charged() {
     for ends in [
--- a/crates/guavawell-core/tests/forward/choice.rs
+++ b/crates/guavawell-core/tests/forward/choice.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request.
+//! Which server is chosen for a request.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::LapseSettings;
@@ -81,7 +81,7 @@
             choose(&table, REQUEST, later).expect("a server").server,
             preferred
         );
-        // The pause after a failure ends by itself.
+        // After a failure, the server is avoided only for a time.
         if fault > 0 {
             let much_later = later + ClockSpan::from_millis(20_000);
             assert_eq!(
@@ -113,7 +113,7 @@
     table.remove(&crate::support::server(1), ServerPhase::Leaving);
     let pick = choose_without(&table, REQUEST, START, &tried).expect("a server");
     assert_eq!(pick.server, crate::support::server(2));
-    // A server that leaves does not come back, whatever the list says.
+    // A leaving server stays leaving, even if it is listed as ready.
     let mut listed = table
         .get(&crate::support::server(1))
         .expect("listed")
@@ -131,7 +131,7 @@
     table.remove(&crate::support::server(0), ServerPhase::Lapsed(until));
     assert!(choose(&table, REQUEST, START).is_some());
     assert!(choose(&table, REQUEST, until).is_none());
-    // The entry is back in time.
+    // The entry reappears in time.
     let mut back = table.clone();
     let mut listed = back
         .get(&crate::support::server(0))
@@ -151,7 +151,8 @@
     let ms = ClockSpan::from_millis;
     let phase_after_removal =
         |after: u64| settings.phase_after_removal(START + ms(after), Some(last_outage));
-    // Right after the trouble it may come back, within bounds from both ends.
+    // Right after the outage the entry may come back; `max_lapse` and
+    // `outage_grace` limit for how long.
     assert_eq!(
         phase_after_removal(0),
         ServerPhase::Lapsed(START + ms(1_700))
--- a/crates/guavawell-core/tests/forward/congestion.rs
+++ b/crates/guavawell-core/tests/forward/congestion.rs
@@ -1,4 +1,4 @@
-//! A full link, told by connections that take long.
+//! Detection of a full link from slow connections.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -10,9 +10,9 @@
 
 /// Load of one organisation's callers, as a multiple of what the link carries.
 const OVERLOAD: f64 = 1.8;
-/// Requests that the link carries in a second.
+/// Requests that the link carries per second.
 const LINK_RATE: f64 = 150.0;
-/// Length of the queue before the link, in seconds of what it carries.
+/// Length of the link's queue, in seconds of its full rate.
 const QUEUE_SECONDS: f64 = 0.5;
 
 fn later(millis: u64) -> ClockTime {
@@ -23,10 +23,11 @@
     ClockSpan::from_millis(millis)
 }
 
-/// Plays callers before one instance for so many seconds, in steps of 10 ms: a
-/// connection waits as long as the queue is. Callers press from 2 to 8 s; where
-/// the instance is not ready, those beyond the usual go elsewhere. Returns the
-/// share of the pressed seconds in which the queue was full.
+/// Simulates callers of one instance for 10 s in steps of 10 ms. A connection
+/// takes as long as the queue. The callers overload the link from 2 s to 8 s;
+/// if `balancer_follows`, the load returns to normal while the instance is not
+/// ready. Returns the fraction of the overloaded time in which the queue was
+/// full.
 fn full_share(balancer_follows: bool) -> f64 {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     let (mut queue, mut full, mut steps) = (0.0, 0.0, 0.0);
@@ -53,7 +54,7 @@
 #[test]
 fn reporting_not_ready_relieves_a_full_link() {
     let (before, with) = (full_share(false), full_share(true));
-    println!("full {before:.2} of the time, {with:.2} where it is not ready");
+    println!("full {before:.2} of the time, {with:.2} if it reports not ready");
     assert!(before > 0.8, "{before}");
     assert!(with < before / 2.0, "{with} of {before}");
 }
@@ -110,7 +111,7 @@
     }
     assert!(link.is_full(later(2_900)));
     assert!(!link.is_full(later(3_000)));
-    // A slow one after a while begins anew.
+    // A slow connection after a pause starts a new streak.
     link.connected(span(300), later(9_000));
     assert!(!link.is_full(later(9_000)));
 }
--- a/crates/guavawell-core/tests/forward/connect.rs
+++ b/crates/guavawell-core/tests/forward/connect.rs
@@ -1,4 +1,4 @@
-//! Waits for connections: dead servers and a full link.
+//! Timeouts of connections to dead servers and over a full link.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ConnectSettings;
@@ -10,8 +10,8 @@
     ignored_failures: 2,
 };
 
-/// Plays tries that each take so long to be answered, or for ever; returns how
-/// many were answered within their limit.
+/// Simulates attempts, given the time that each takes to connect, or `None` for
+/// a dead server. Returns how many connect within their timeout.
 fn count_connected(attempts: impl Iterator<Item = Option<u64>>) -> usize {
     let mut timeout = ConnectTimeout::default();
     let mut count = 0;
@@ -29,8 +29,8 @@
 
 #[test]
 fn the_timeout_grows_until_connections_over_a_full_link_succeed() {
-    // Opening packets wait 400 ms behind request bodies: the limit that finds a
-    // dead server would make no connection at all.
+    // Replies to SYNs wait 400 ms behind request bodies. With the timeout that
+    // detects a dead server, no connection would succeed.
     let connected = count_connected((0..100).map(|_| Some(400)));
     assert!(connected >= 90, "{connected} of 100");
 }
--- a/crates/guavawell-core/tests/forward/incarnation.rs
+++ b/crates/guavawell-core/tests/forward/incarnation.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the id that they had.
+//! Servers that restart under the same id.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
@@ -48,10 +48,10 @@
     assert_eq!(
         choose(&table, REQUEST, START),
         None,
-        "a leaving life never comes back"
+        "a leaving incarnation never comes back"
     );
     table.upsert(entry(second.clone()));
-    let pick = choose(&table, REQUEST, START).expect("the new life serves");
+    let pick = choose(&table, REQUEST, START).expect("the new incarnation");
     assert_eq!(pick.server, second);
 }
 
@@ -68,7 +68,7 @@
     table.remove(&first, ServerPhase::Leaving);
     assert!(
         table.get_mut(&first).is_none(),
-        "its requests count nowhere"
+        "the earlier incarnation is gone"
     );
     assert_eq!(table.get(&second), Some(&entry(second.clone())));
 }
@@ -93,7 +93,7 @@
     table.get_mut(&first).expect("listed").begin(START, 10, 10);
     table.upsert(entry(second.clone()));
     table.get_mut(&second).expect("listed").begin(START, 10, 10);
-    // The former life's request ends now.
+    // The request of the earlier incarnation ends now.
     if let Some(table_entry) = table.get_mut(&first) {
         table_entry.finish(10, 10);
     }
@@ -121,7 +121,7 @@
     assert_eq!(choose(&table, REQUEST, START), None);
     table.upsert(entry(incarnation.clone()));
     assert!(choose(&table, REQUEST, START).is_some());
-    // An unreadable entry that vanishes is not one that lapsed.
+    // An unreadable entry that disappears does not lapse.
     table.remove(&incarnation, ServerPhase::Unreadable);
     let until = START + ClockSpan::from_millis(1_000);
     table.remove(&incarnation, ServerPhase::Lapsed(until));
--- a/crates/guavawell-core/tests/forward/large_fleet.rs
+++ b/crates/guavawell-core/tests/forward/large_fleet.rs
@@ -1,8 +1,8 @@
-//! Replay of one prompt that gets much of a large fleet's traffic.
+//! Replay of a large fleet in which one popular prompt causes much of the load.
 //!
-//! The load: 95 instances, each with a request a second, and 24 servers. An
-//! instance hears from a server every twenty seconds or so, and holds none of
-//! the requests that keep it busy.
+//! 95 instances send about one request per second each to 24 servers. An
+//! instance gets a load report from a server only every twenty seconds or so,
+//! and has sent none of the requests that keep the server busy.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -19,22 +19,22 @@
 const SERVERS: usize = 24;
 /// Requests that a server runs at once.
 const SLOTS: usize = 8;
-/// How long a request runs, in milliseconds.
+/// Running time of a request.
 const RUN_MS: u64 = 1_200;
-/// Time between two requests, in milliseconds.
+/// Time between two requests of the fleet.
 const STEP_MS: u64 = 11;
-/// Length of the replay, in milliseconds.
+/// Length of the replay.
 const LENGTH_MS: u64 = 40_000;
-/// What comes before is not looked at, in milliseconds.
+/// Time at the start that is not measured.
 const WARMUP_MS: u64 = 10_000;
-/// Longest wait that callers like, in milliseconds.
+/// Longest wait that callers accept.
 const LATE_MS: u64 = 800;
-/// A report up to this age counts in full.
+/// Age up to which a load report counts in full.
 const FRESH_REPORT_AGE: ClockSpan = ClockSpan::from_millis(1_500);
-/// Part of the requests that have the popular prompt, in hundredths.
+/// Percentage of requests with the popular prompt.
 const POPULAR_PERCENT: u64 = 28;
 
-/// A request that waits for its server or runs there.
+/// A request that waits at its server or runs there.
 struct SimRequest {
     instance: usize,
     server: usize,
@@ -71,7 +71,8 @@
             .count()
     }
 
-    /// Ends what has run, begins what waited; answers tell the load.
+    /// Ends requests that have run, and starts waiting ones; their responses
+    /// report the server's load.
     fn step(&mut self, now: ClockTime) {
         let run = ClockSpan::from_millis(RUN_MS);
         let ended = |request: &SimRequest| {
@@ -121,7 +122,7 @@
         });
     }
 
-    /// An instance that takes an old report for none.
+    /// Models an instance that ignores old load reports.
     fn forget_old_reports(&mut self, instance: usize, now: ClockTime) {
         for number in 0..SERVERS {
             let entry = self.tables[instance].get_mut(&server(number));
@@ -133,7 +134,7 @@
     }
 }
 
-/// How many requests of a hundred waited longer than their caller would like.
+/// The percentage of requests that waited longer than callers accept.
 fn late_percent(forgets_old: bool) -> usize {
     let mut random = fastrand::Rng::with_seed(5);
     let mut fleet = FleetReplay {
@@ -167,6 +168,6 @@
 #[test]
 fn old_load_reports_keep_requests_from_a_server_with_a_popular_prompt() {
     let (ours, forgetful) = (late_percent(false), late_percent(true));
-    println!("late: {ours} of a hundred, {forgetful} where old reports are forgotten");
+    println!("late: {ours} %, {forgetful} % if old reports are ignored");
     assert!(ours * 2 < forgetful, "{ours} and {forgetful}");
 }
--- a/crates/guavawell-core/tests/forward/load.rs
+++ b/crates/guavawell-core/tests/forward/load.rs
@@ -1,5 +1,5 @@
-//! Replays of the worst loads against baselines: half of the servers dark, and
-//! one prompt that gets much of the traffic.
+//! Replays of heavy loads, compared with simpler choices of a server: half of
+//! the servers unresponsive, and one prompt with most of the requests.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -12,19 +12,19 @@
 use crate::support::server;
 use crate::support::table;
 
-/// Prompt tokens that a server of the replay reads in a millisecond.
+/// Prompt tokens that a server prefills per millisecond.
 const PREFILL_TOKENS_PER_MS: u64 = 80;
-/// Servers of the replay.
+/// Number of servers.
 const SERVERS: usize = 18;
 
-/// What a replay found.
+/// Results of a replay.
 #[derive(Default)]
 struct ReplayOutcome {
     /// Times to the first token, in milliseconds.
     waits: Vec<u64>,
-    /// Shared tokens read again.
+    /// Shared tokens that were prefilled again.
     repeated_tokens: u64,
-    /// Requests that reached a dark server.
+    /// Requests that were sent to an unresponsive server.
     lost: usize,
 }
 
@@ -35,13 +35,14 @@
     }
 }
 
-/// Servers that read prompts one after another and keep shared parts.
+/// Servers that prefill prompts one after another and cache their shared parts.
 struct ServerReplay {
     table: ServerTable,
     free_at: Vec<ClockTime>,
     cached: Vec<Vec<u64>>,
     unresponsive: Vec<bool>,
-    /// Requests that are still to begin: when, where, how many tokens.
+    /// Requests that are not prefilled yet: the time when they will be, the
+    /// server, the predicted prefill tokens and the cache tokens.
     pending: Vec<(ClockTime, ServerIncarnation, u64, u64)>,
 }
 
@@ -112,7 +113,7 @@
     }
 }
 
-/// Ten seconds of drafts, one every 25 ms.
+/// Ten seconds of requests, one every 25 ms.
 fn replay(
     unresponsive: usize,
     part_of: impl Fn(&mut fastrand::Rng) -> u64,
@@ -166,7 +167,7 @@
         (server(random.usize(..SERVERS)), request.input)
     });
     println!(
-        "lost: {} of 400, {} at random",
+        "lost: {} of 400, {} with random choice",
         chosen.lost, random_pick.lost
     );
     assert!(chosen.lost * 4 < random_pick.lost);
@@ -179,7 +180,7 @@
     let mut least = replay(0, spread, least_loaded_server);
     let (p95, least_p95) = (chosen.p95(), least.p95());
     println!(
-        "read again: {} and {} tokens",
+        "prefilled again: {} and {} tokens",
         chosen.repeated_tokens, least.repeated_tokens
     );
     println!("p95: {p95} and {least_p95} ms");
@@ -204,7 +205,7 @@
         (preferred.server, preferred.prefill_tokens)
     });
     println!(
-        "p95 {} ms, {} ms at home alone",
+        "p95 {} ms, {} ms with the preferred server alone",
         chosen.p95(),
         preferred_only.p95()
     );
--- a/crates/guavawell-core/tests/forward/main.rs
+++ b/crates/guavawell-core/tests/forward/main.rs
@@ -1,5 +1,5 @@
-//! Decisions on forwarded requests: routes, repeats, choice of a server, and
-//! replays of the worst loads.
+//! Tests of decisions on forwarded requests: routes, retries and the choice of
+//! a server, with replays of heavy loads.
 
 mod announcement;
 mod attempt;
--- a/crates/guavawell-core/tests/forward/poll.rs
+++ b/crates/guavawell-core/tests/forward/poll.rs
@@ -1,26 +1,26 @@
-//! Questions for changes, of which some connections never bring an answer.
+//! Timing of polls over connections of which some never respond.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::PollTiming;
 
-/// What a connection and an answer take.
+/// Time for a connection and a response.
 const RESPONSE_MS: u64 = 20;
-/// What an answer takes at a store that is sixty times slower than usual.
+/// Response time of a store that is sixty times slower than usual.
 const SLOW_RESPONSE_MS: u64 = 240;
-/// Bounds within which a change is to be in force.
+/// Times within which a change must be in force.
 const BOUNDS_MS: [u64; 3] = [2_000, 3_000, 4_000];
 
 fn timing(bound: u64) -> PollTiming {
     PollTiming::within(ClockSpan::from_millis(bound))
 }
 
-/// How long a change takes to be known that is confirmed right after a question
-/// was sent, if that connection and the ones after it, `unresponsive` in all, never
-/// bring an answer.
+/// Time until a change is seen that is committed right after a poll was sent,
+/// if the connections of that poll and of the next ones, `unresponsive` in all,
+/// never respond.
 fn propagation_ms(timing: PollTiming, unresponsive: usize) -> u64 {
     let mut started_ms = 0;
     for first in (0..).step_by(2) {
-        // The question itself, and the one beside it.
+        // The poll itself, and the hedged one.
         if first >= unresponsive {
             return started_ms + RESPONSE_MS;
         }
@@ -29,7 +29,7 @@
         }
         started_ms += timing.poll_timeout().as_millis() + timing.fault_pause(u16::MAX).as_millis();
     }
-    unreachable!("a connection that works is found")
+    unreachable!("some connection responds")
 }
 
 #[test]
--- a/crates/guavawell-core/tests/forward/retry.rs
+++ b/crates/guavawell-core/tests/forward/retry.rs
@@ -1,4 +1,4 @@
-//! The allowance for repeats.
+//! The allowance for retries.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::RetryAllowance;
@@ -13,7 +13,7 @@
     let mut instances = vec![RetryAllowance::default(); settings.instances];
     let mut sent: Vec<(u64, bool)> = Vec::new();
     let mut random = fastrand::Rng::with_seed(3);
-    // A surge of failures: every request wants a repeat, at an uneven rate.
+    // Every request fails and needs a retry; the rate of requests is uneven.
     for millis in (0..60_000).step_by(10) {
         let now = START + ClockSpan::from_millis(millis);
         let burst = if millis % 20_000 < 5_000 { 3 } else { 1 };
--- a/crates/guavawell-core/tests/forward/support.rs
+++ b/crates/guavawell-core/tests/forward/support.rs
@@ -1,4 +1,4 @@
-//! Servers and asks for the tests.
+//! Servers and requests for the tests.
 
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::ChoiceAsk;
@@ -19,14 +19,14 @@
 use guavawell_core::id::TokenCount;
 use guavawell_core::id::ZoneId;
 
-/// The engines of the tests.
+/// Limits of the tests' engines.
 pub const ENGINE: EngineLimits = EngineLimits {
     slots: 8,
     memory: TokenCount::new(200_000),
     event_tokens: 5,
 };
 
-/// A time well after the epoch.
+/// Start of the tests' clock, well after its epoch.
 pub const START: ClockTime = ClockTime::from_millis(1_000_000);
 
 pub fn service() -> ServiceId {
@@ -41,7 +41,7 @@
     server_started_at(number, 1)
 }
 
-/// The life of a server that began at a time.
+/// The incarnation of a server that started at `millis`.
 pub fn server_started_at(number: usize, millis: u64) -> ServerIncarnation {
     ServerIncarnation {
         id: format!("i-{number:03}").parse().expect("a valid id"),
@@ -49,7 +49,7 @@
     }
 }
 
-/// A ready server without load.
+/// The entry of a ready server without load.
 pub fn entry(incarnation: ServerIncarnation) -> ServerEntry {
     ServerEntry {
         incarnation,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Ready servers, in two zones by turns.
+/// A table of ready servers, alternating between two zones.
 pub fn table(count: usize) -> ServerTable {
     let mut table = ServerTable::default();
     for number in 0..count {
@@ -77,7 +77,7 @@
     table
 }
 
-/// A request with a shared part.
+/// A request whose prompt has a shared part.
 #[derive(Clone, Copy)]
 pub struct TestRequest {
     pub part: u64,
