--- a/crates/guavawell-core/examples/admission_burst/router.rs
+++ b/crates/guavawell-core/examples/admission_burst/router.rs
@@ -5,7 +5,7 @@
 use guavawell_core::backend::BackendLease;
 use guavawell_core::backend::BackendSpec;
 use guavawell_core::backend::BackendTable;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::backend::LoadReport;
 use guavawell_core::backend::RouteTarget;
@@ -79,7 +79,7 @@
 
     /// Chooses an engine and counts the request in flight there.
     pub fn choose(&mut self, number: usize, draw: u64, now: ClockTime) -> Option<usize> {
-        let ask = ChoiceAsk {
+        let ask = ChoiceRequest {
             target: &self.target,
             version: None,
             adapter: None,
--- a/crates/guavawell-core/examples/routing_compare/cost.rs
+++ b/crates/guavawell-core/examples/routing_compare/cost.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use guavawell_core::backend::BackendTable;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::PrefixHash;
 use guavawell_core::backend::RouteTarget;
 use guavawell_core::backend::RoutingSettings;
@@ -29,7 +29,7 @@
         let mut draws = RandomDraws(3);
         let begun = Instant::now();
         for round in 0..ROUNDS {
-            let ask = ChoiceAsk {
+            let ask = ChoiceRequest {
                 target: &target,
                 version: None,
                 adapter: None,
--- a/crates/guavawell-core/examples/routing_compare/world/mod.rs
+++ b/crates/guavawell-core/examples/routing_compare/world/mod.rs
@@ -13,7 +13,7 @@
 use guavawell_core::backend::BackendSpec;
 use guavawell_core::backend::BackendTable;
 use guavawell_core::backend::CacheBatch;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::backend::LoadReport;
 use guavawell_core::backend::PrefixHash;
@@ -403,7 +403,7 @@
             ChoicePolicy::Guavawell => {
                 let specs = router.table.specs();
                 let tried = job.tried.iter().map(|engine| specs[*engine].id.clone());
-                let ask = ChoiceAsk {
+                let ask = ChoiceRequest {
                     target: &self.target,
                     version: None,
                     adapter: None,
--- a/crates/guavawell-core/src/backend/choice.rs
+++ b/crates/guavawell-core/src/backend/choice.rs
@@ -35,7 +35,7 @@
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct ChoiceAsk<'a> {
+pub struct ChoiceRequest<'a> {
     /// The model or service.
     pub target: &'a RouteTarget,
     /// A version that must be served; any if absent.
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// [`NoBackend`] says why there is none; nothing was sent.
-    pub fn choose(self: &Arc<Self>, ask: &ChoiceAsk<'_>) -> Result<BackendPick, NoBackend> {
+    pub fn choose(self: &Arc<Self>, ask: &ChoiceRequest<'_>) -> Result<BackendPick, NoBackend> {
         let adapter = ask.adapter.map(|id| RouteTarget::Model(id.clone()));
         let preferred = adapter.and_then(|target| self.target(&target, None));
         if let Some(index) = preferred
@@ -129,7 +129,7 @@
         self: &Arc<Self>,
         index: &TargetIndex,
         candidate: &Candidate<'_>,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
     ) -> BackendPick {
         BackendPick {
             table: Arc::clone(self),
@@ -147,7 +147,7 @@
     fn best<'a>(
         &self,
         index: &'a TargetIndex,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
         ejected: bool,
     ) -> Option<Candidate<'a>> {
         let stale = self.settings().summary_stale;
@@ -176,7 +176,7 @@
     fn best_there<'a>(
         &self,
         group: &'a Arc<BackendGroup>,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
         ejected: bool,
     ) -> Option<Candidate<'a>> {
         let mut candidate = self.best_of(group, ask, ejected)?;
@@ -187,7 +187,7 @@
     fn best_of<'a>(
         &self,
         group: &'a Arc<BackendGroup>,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
         ejected: bool,
     ) -> Option<Candidate<'a>> {
         let usable = |state: &BackendState| is_usable(state, ask, ejected) && state.has_room();
@@ -219,7 +219,7 @@
     fn trial_of<'a>(
         &self,
         group: &'a Arc<BackendGroup>,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
     ) -> Option<Candidate<'a>> {
         let share = u64::from(self.settings().trial_share);
         if !mix(ask.draw).is_multiple_of(share) {
@@ -241,7 +241,7 @@
     fn hinted<'a>(
         &self,
         group: &'a BackendGroup,
-        ask: &ChoiceAsk<'_>,
+        ask: &ChoiceRequest<'_>,
     ) -> [Option<&'a Arc<BackendState>>; MAX_HINTS] {
         let Some(prefix) = ask.prefix else {
             return [None; MAX_HINTS];
@@ -258,7 +258,7 @@
 }
 
 /// Whether other zones tell of their use, so that none is tried blindly.
-fn is_told(index: &TargetIndex, stale: ClockSpan, ask: &ChoiceAsk<'_>) -> bool {
+fn is_told(index: &TargetIndex, stale: ClockSpan, ask: &ChoiceRequest<'_>) -> bool {
     let others = index.zones.iter().filter(|group| group.zone != *ask.zone);
     let mut told = others.filter_map(|group| group.told.percent(stale, ask.now));
     told.next().is_some()
@@ -269,7 +269,7 @@
 fn zone_with_room<'a>(
     index: &'a TargetIndex,
     stale: ClockSpan,
-    ask: &ChoiceAsk<'_>,
+    ask: &ChoiceRequest<'_>,
 ) -> Option<&'a Arc<BackendGroup>> {
     let room_of = |group: &BackendGroup| match group.told.percent(stale, ask.now) {
         Some(percent) if group.zone != *ask.zone => room(percent, group.members.len()),
@@ -290,7 +290,7 @@
     state: &'a Arc<BackendState>,
     cached: bool,
     told: Option<u64>,
-    ask: &ChoiceAsk<'_>,
+    ask: &ChoiceRequest<'_>,
 ) -> Candidate<'a> {
     Candidate {
         group,
@@ -308,7 +308,7 @@
     }
 }
 
-fn is_usable(state: &BackendState, ask: &ChoiceAsk<'_>, ejected: bool) -> bool {
+fn is_usable(state: &BackendState, ask: &ChoiceRequest<'_>, ejected: bool) -> bool {
     let healthy = if ejected {
         !state.is_leaving()
     } else {
@@ -372,7 +372,7 @@
     second ^ (second >> 31)
 }
 
-fn refusal(index: &TargetIndex, ask: &ChoiceAsk<'_>) -> NoBackend {
+fn refusal(index: &TargetIndex, ask: &ChoiceRequest<'_>) -> NoBackend {
     let members = index.zones.iter().flat_map(|group| &group.members);
     let usable = members.filter(|state| is_usable(state, ask, true));
     let wait = usable
--- a/crates/guavawell-core/src/backend/mod.rs
+++ b/crates/guavawell-core/src/backend/mod.rs
@@ -38,7 +38,7 @@
 pub use bundle::ReportBundle;
 pub use bundle::ReportMark;
 pub use choice::BackendPick;
-pub use choice::ChoiceAsk;
+pub use choice::ChoiceRequest;
 pub use choice::NoBackend;
 pub use connection::ConnectionAction;
 pub use connection::ConnectionSettings;
--- a/crates/guavawell-core/src/forward/attempt.rs
+++ b/crates/guavawell-core/src/forward/attempt.rs
@@ -46,12 +46,12 @@
 /// known that it did not run.
 #[must_use]
 pub fn next_step(retry_safety: RetrySafety, end: AttemptEnd, may_retry: bool) -> NextStep {
-    let is_repeatable = retry_safety != RetrySafety::Once;
+    let is_retryable = retry_safety != RetrySafety::Once;
     match end {
         AttemptEnd::NotSent | AttemptEnd::Rejected if may_retry => NextStep::Retry,
         AttemptEnd::NotSent => NextStep::Refuse(ForwardRefusal::NoServer),
         AttemptEnd::Rejected => NextStep::Refuse(ForwardRefusal::ServersFull),
-        _ if may_retry && is_repeatable => NextStep::Retry,
+        _ if may_retry && is_retryable => NextStep::Retry,
         AttemptEnd::Failed => NextStep::Relay,
         AttemptEnd::Lost => NextStep::Refuse(ForwardRefusal::AnswerLost),
         AttemptEnd::Silent => NextStep::Refuse(ForwardRefusal::TimedOut),
--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -77,7 +77,7 @@
 
 /// The request for which a server is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct ChoiceAsk<'a> {
+pub struct ChoiceRequest<'a> {
     /// The service that the request goes to.
     pub service: &'a ServiceId,
     /// Limits of the service's model engines; `None` for a service without
@@ -127,14 +127,14 @@
 /// Why no server can take the request.
 pub fn choose_server(
     table: &ServerTable,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> Result<ServerPick, ChoiceError> {
     let is_candidate = |entry: &&ServerEntry| {
-        entry.service == *ask.service
+        entry.service == *request.service
             && entry.takes_requests(now)
-            && !ask.tried.contains(&entry.incarnation)
+            && !request.tried.contains(&entry.incarnation)
     };
     let mut candidates: Vec<&ServerEntry> = table.servers().iter().filter(is_candidate).collect();
     if candidates.is_empty() {
@@ -144,18 +144,18 @@
     if candidates.is_empty() {
         return Err(ChoiceError::Paused);
     }
-    let preferred = preferred_server(&candidates, ask, now, settings);
+    let preferred = preferred_server(&candidates, request, now, settings);
     let available = candidates
         .iter()
-        .filter(|entry| has_room(entry, ask, now, settings));
+        .filter(|entry| has_room(entry, request, now, settings));
     // Computes each cost once; a comparison closure would compute it twice for
     // every pair.
     let costs = available.map(|entry| {
-        let penalty = penalty_ms(entry, ask, now, settings);
+        let penalty = penalty_ms(entry, request, now, settings);
         let cost = cost_ms(
             entry,
             preferred == Some(&entry.incarnation),
-            ask,
+            request,
             now,
             settings,
         );
@@ -164,20 +164,20 @@
     let best = costs.min_by(|(a, _), (b, _)| a.total_cmp(b));
     let (_, best) = best.ok_or(ChoiceError::Full)?;
     let cached = if preferred == Some(&best.incarnation) {
-        ask.shared_tokens
+        request.shared_tokens
     } else {
         0
     };
     Ok(ServerPick {
         server: best.incarnation.clone(),
-        prefill_tokens: ask.usage.input.get().saturating_sub(cached),
+        prefill_tokens: request.usage.input.get().saturating_sub(cached),
     })
 }
 
 /// Cost that keeps a request from a server while there are others.
 fn penalty_ms(
     entry: &ServerEntry,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
@@ -188,7 +188,7 @@
     };
     let is_other =
         |fingerprint: RequestFingerprint| entry.suspects.iter().any(|held| *held != fingerprint);
-    let suspect_cost = if ask.suspect.is_some_and(is_other) {
+    let suspect_cost = if request.suspect.is_some_and(is_other) {
         SUSPECT_COST_MS
     } else {
         0.0
@@ -200,13 +200,13 @@
 /// suspect.
 fn preferred_server<'a>(
     candidates: &[&'a ServerEntry],
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> Option<&'a ServerIncarnation> {
-    let key = match ask.suspect {
+    let key = match request.suspect {
         Some(fingerprint) => fingerprint.short(),
-        None => ask.affinity?.id,
+        None => request.affinity?.id,
     };
     let healthy = candidates
         .iter()
@@ -227,7 +227,7 @@
 
 fn has_room(
     entry: &ServerEntry,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> bool {
@@ -235,8 +235,8 @@
     if f64::from(entry.load.estimate(now)) >= max_requests.max(1.0) {
         return false;
     }
-    ask.engine.is_none_or(|engine| {
-        let cache_tokens = entry.load.cache_tokens + ask.usage.worst_case().get();
+    request.engine.is_none_or(|engine| {
+        let cache_tokens = entry.load.cache_tokens + request.usage.worst_case().get();
         entry.load.in_flight == 0 || cache_tokens <= engine.memory.get()
     })
 }
@@ -244,15 +244,15 @@
 fn cost_ms(
     entry: &ServerEntry,
     preferred: bool,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
     let estimate = f64::from(entry.load.estimate(now));
     let slots = f64::from(entry.slots.max(1));
     let failure = settings.failure_rate_ms * entry.failure_rate(now);
-    let same_zone = entry.zone == *ask.zone;
-    let Some(_) = ask.engine else {
+    let same_zone = entry.zone == *request.zone;
+    let Some(_) = request.engine else {
         let zone = if same_zone {
             0.0
         } else {
@@ -265,7 +265,7 @@
     } else {
         settings.engine_zone_ms
     };
-    let uncached = if preferred { 0 } else { ask.shared_tokens };
+    let uncached = if preferred { 0 } else { request.shared_tokens };
     let uncached = fraction(uncached) * settings.repeated_prefill_factor;
     let prefill = (fraction(entry.load.prefill_tokens) + uncached) / settings.prefill_tokens_per_ms;
     let batch = settings.full_batch_ms * (estimate / slots).min(1.0);
--- a/crates/guavawell-core/tests/forward/support.rs
+++ b/crates/guavawell-core/tests/forward/support.rs
@@ -1,7 +1,7 @@
 //! Servers and requests for the tests.
 
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ChoiceAsk;
+use guavawell_core::forward::ChoiceRequest;
 use guavawell_core::forward::ChoiceSettings;
 use guavawell_core::forward::EngineLimits;
 use guavawell_core::forward::LoadFigures;
@@ -97,7 +97,7 @@
 ) -> Option<ServerPick> {
     let service = service();
     let zone = zone("z1");
-    let ask = ChoiceAsk {
+    let choice_request = ChoiceRequest {
         service: &service,
         engine: Some(ENGINE),
         zone: &zone,
@@ -113,5 +113,5 @@
         tried,
         suspect: None,
     };
-    choose_server(table, &ask, now, &ChoiceSettings::default()).ok()
+    choose_server(table, &choice_request, now, &ChoiceSettings::default()).ok()
 }
--- a/crates/guavawell-core/tests/routing.rs
+++ b/crates/guavawell-core/tests/routing.rs
@@ -8,7 +8,7 @@
 use guavawell_core::backend::CacheBatch;
 use guavawell_core::backend::CacheChange;
 use guavawell_core::backend::CacheEvent;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::ConnectionAction;
 use guavawell_core::backend::ConnectionSettings;
 use guavawell_core::backend::ConnectionWatch;
@@ -90,8 +90,8 @@
         }
     }
 
-    fn ask(&self, draw: u64, now: ClockTime) -> ChoiceAsk<'_> {
-        ChoiceAsk {
+    fn ask(&self, draw: u64, now: ClockTime) -> ChoiceRequest<'_> {
+        ChoiceRequest {
             target: &self.target,
             version: None,
             adapter: None,
--- a/crates/guavawell-core/tests/routing_trial.rs
+++ b/crates/guavawell-core/tests/routing_trial.rs
@@ -6,7 +6,7 @@
 use guavawell_core::backend::BackendLease;
 use guavawell_core::backend::BackendSpec;
 use guavawell_core::backend::BackendTable;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::backend::LoadReport;
 use guavawell_core::backend::RouteTarget;
@@ -55,7 +55,7 @@
 
 fn begin(table: &Arc<BackendTable>, draw: u64, tried: &[&str], now: ClockTime) -> BackendLease {
     let exclude: Vec<BackendId> = tried.iter().map(|id| id.parse().expect("id")).collect();
-    let ask = ChoiceAsk {
+    let ask = ChoiceRequest {
         target: &RouteTarget::Model("m".parse().expect("model")),
         version: None,
         adapter: None,
--- a/crates/guavawell-core/tests/subset.rs
+++ b/crates/guavawell-core/tests/subset.rs
@@ -4,7 +4,7 @@
 
 use guavawell_core::backend::BackendSpec;
 use guavawell_core::backend::BackendTable;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::LoadReport;
 use guavawell_core::backend::MAX_BUNDLED;
 use guavawell_core::backend::PassedReport;
@@ -94,7 +94,7 @@
     let target = model();
     let zone = zone("a");
     let picks = (0..200_u64).map(|draw| {
-        let ask = ChoiceAsk {
+        let ask = ChoiceRequest {
             target: &target,
             version: None,
             adapter: None,
@@ -198,7 +198,7 @@
     let zone = zone("a");
     let others: Vec<_> = table.specs().iter().map(|spec| spec.id.clone()).collect();
     let others: Vec<_> = others.into_iter().filter(|id| *id != near).collect();
-    let ask = ChoiceAsk {
+    let ask = ChoiceRequest {
         target: &target,
         version: None,
         adapter: None,
--- a/crates/guavawell-fleet/src/router/choice.rs
+++ b/crates/guavawell-fleet/src/router/choice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use guavawell_core::backend::BackendLease;
-use guavawell_core::backend::ChoiceAsk;
+use guavawell_core::backend::ChoiceRequest;
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::backend::NoBackend;
 use guavawell_core::budget::BackendNote;
@@ -45,7 +45,7 @@
 ) -> Result<BackendLease, NoBackend> {
     let table = core.backends.load_full();
     loop {
-        let ask = ChoiceAsk {
+        let ask = ChoiceRequest {
             target: &call.target,
             version: None,
             adapter: None,
--- a/crates/guavawell-forward/src/send.rs
+++ b/crates/guavawell-forward/src/send.rs
@@ -4,8 +4,8 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::AttemptEnd;
-use guavawell_core::forward::ChoiceAsk;
 use guavawell_core::forward::ChoiceError;
+use guavawell_core::forward::ChoiceRequest;
 use guavawell_core::forward::ForwardRefusal;
 use guavawell_core::forward::NextStep;
 use guavawell_core::forward::RequestCharge;
@@ -175,7 +175,7 @@
         return Err(ForwardRefusal::TooLate);
     }
     let suspect = router.poison.suspect(call.fingerprint);
-    let ask = ChoiceAsk {
+    let ask = ChoiceRequest {
         service: &call.service,
         engine: call.engine,
         zone: &router.settings.zone,
