--- a/crates/guavawell-core/src/forward/age.rs
+++ b/crates/guavawell-core/src/forward/age.rs
@@ -31,11 +31,11 @@
         }
     }
 
-    /// Records a response to a poll sent at `asked`. The response to an earlier
+    /// Records a response to a poll sent at `sent_at`. The response to an earlier
     /// poll than the latest answered one changes nothing.
-    pub fn check(&mut self, asked: ClockTime) {
-        if self.checked_at < Some(asked) {
-            *self = Self::checked(asked);
+    pub fn check(&mut self, sent_at: ClockTime) {
+        if self.checked_at < Some(sent_at) {
+            *self = Self::checked(sent_at);
         }
     }
 
@@ -65,11 +65,11 @@
         self.store_unreachable = true;
     }
 
-    /// Records that a poll sent at `asked` has no response, which was due
+    /// Records that a poll sent at `sent_at` has no response, which was due
     /// `due_after` later. This shows that the store does not respond only if
     /// the process was running at that time.
-    pub fn unanswered(&mut self, asked: ClockTime, due_after: ClockSpan, now: ClockTime) {
-        let was_running = now.since(asked) <= due_after + CHECK_DELAY;
+    pub fn unanswered(&mut self, sent_at: ClockTime, due_after: ClockSpan, now: ClockTime) {
+        let was_running = now.since(sent_at) <= due_after + CHECK_DELAY;
         self.store_unreachable = self.store_unreachable || was_running;
     }
 }
--- a/crates/guavawell-core/src/forward/tracker.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -105,42 +105,47 @@
         self.rejected != Some(version) && self.version().is_none_or(|current| current < version)
     }
 
-    /// Records the store's response to a poll sent at `asked`: `version`, in a
+    /// Records the store's response to a poll sent at `sent_at`: `version`, in a
     /// row of the given revision.
     pub fn store_answered(
         &mut self,
         version: u64,
         revision: u64,
-        asked: ClockTime,
+        sent_at: ClockTime,
         now: ClockTime,
     ) -> ConfigAction {
         self.readable_revision = self.readable_revision.max(Some(revision));
-        self.confirm_version(version, asked, now)
+        self.confirm_version(version, sent_at, now)
     }
 
-    fn confirm_version(&mut self, version: u64, asked: ClockTime, now: ClockTime) -> ConfigAction {
+    fn confirm_version(
+        &mut self,
+        version: u64,
+        sent_at: ClockTime,
+        now: ClockTime,
+    ) -> ConfigAction {
         self.newest_stored = self.newest_stored.max(Some(version));
         let Some(current) = self.current.filter(|current| current.version >= version) else {
-            return self.apply(version, ConfigSource::Store, asked, now);
+            return self.apply(version, ConfigSource::Store, sent_at, now);
         };
         if current.version == version {
             self.set_current(version, ConfigSource::Store, current.applied_at);
-        } else if current.source == ConfigSource::Instance && asked > current.applied_at {
+        } else if current.source == ConfigSource::Instance && sent_at > current.applied_at {
             // Other instances send only what they read from the store, so the
             // store would still return this version or a newer one.
-            return self.revert(current, asked, now);
+            return self.revert(current, sent_at, now);
         }
-        self.age.check(asked);
+        self.age.check(sent_at);
         ConfigAction::Keep
     }
 
-    /// Records the store's response to a poll sent at `asked`: nothing has
+    /// Records the store's response to a poll sent at `sent_at`: nothing has
     /// changed since its previous response. This confirms the newest stored
     /// version, unless the row changed to one that could not be decoded.
-    pub fn store_unchanged(&mut self, asked: ClockTime, now: ClockTime) -> ConfigAction {
+    pub fn store_unchanged(&mut self, sent_at: ClockTime, now: ClockTime) -> ConfigAction {
         match self.newest_stored {
             Some(version) if self.unreadable_revision < self.readable_revision => {
-                self.confirm_version(version, asked, now)
+                self.confirm_version(version, sent_at, now)
             }
             _ => ConfigAction::Keep,
         }
@@ -152,17 +157,17 @@
         self.unreadable_revision = self.unreadable_revision.max(Some(revision));
     }
 
-    /// Records another instance's response to a request sent at `asked`: a
+    /// Records another instance's response to a request sent at `sent_at`: a
     /// version that it read from the store, and that was known to be the newest
     /// `age` before.
     pub fn instance_answered(
         &mut self,
         version: u64,
         age: ClockSpan,
-        asked: ClockTime,
+        sent_at: ClockTime,
         now: ClockTime,
     ) -> ConfigAction {
-        let confirmed_at = asked.as_millis().saturating_sub(age.as_millis());
+        let confirmed_at = sent_at.as_millis().saturating_sub(age.as_millis());
         let confirmed_at = ClockTime::from_millis(confirmed_at);
         if self.is_behind(version) {
             return self.apply(version, ConfigSource::Instance, confirmed_at, now);
@@ -191,7 +196,7 @@
     fn revert(
         &mut self,
         current: CurrentVersion,
-        asked: ClockTime,
+        sent_at: ClockTime,
         now: ClockTime,
     ) -> ConfigAction {
         self.rejected = Some(current.version);
@@ -199,7 +204,7 @@
         if let Some(version) = self.newest_stored {
             self.set_current(version, ConfigSource::Store, now);
         }
-        self.age = FeedAge::checked(asked);
+        self.age = FeedAge::checked(sent_at);
         ConfigAction::Revert
     }
 
