--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -1,17 +1,17 @@
-//! Which backend server gets a request.
+//! Chooses the backend server for a request.
 //!
 //! All instances rank the servers of a service alike for one shared prompt
-//! (rendezvous hashing), so that its tokens are read at one server without any
-//! talk. A request leaves that server when the time until its first token is
-//! expected to be shorter elsewhere, the price of reading the shared part again
-//! included.
+//! (rendezvous hashing), so that its tokens are prefilled at one server without
+//! coordination between instances. A request goes to another server if it can
+//! expect its first token sooner there, even though the shared part has to be
+//! prefilled again.
 
 use crate::clock::ClockTime;
-use crate::forward::EngineFacts;
+use crate::forward::EngineLimits;
 use crate::forward::PromptPart;
 use crate::forward::ServerEntry;
 use crate::forward::ServerHealth;
-use crate::forward::ServerLife;
+use crate::forward::ServerIncarnation;
 use crate::forward::ServerPhase;
 use crate::forward::ServerTable;
 use crate::forward::TokenUsage;
@@ -21,236 +21,259 @@
 use crate::number::fraction;
 use crate::poison::RequestFingerprint;
 
-/// Cost of a server that is the last choice, beyond all other costs.
-const AVOIDED_MS: f64 = 1e6;
-/// Cost of a server at which another suspect runs: less than that of one that
-/// probably does not answer.
-const SUSPECTS_MS: f64 = 1e5;
+/// Cost of a server that is the last choice; exceeds the sum of all other
+/// costs.
+const AVOIDED_COST_MS: f64 = 1e6;
+/// Cost of a server that runs another suspect. Less than the cost of a server
+/// that probably does not respond.
+const SUSPECT_COST_MS: f64 = 1e5;
 
-/// The weights of a choice. Times are in milliseconds.
+/// Weights of the cost of a server. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChoiceSettings {
-    /// Prompt tokens that an engine reads in a millisecond.
-    pub prefill_per_ms: f64,
-    /// How much more a shared token that is read again counts than one that
-    /// has to be read anyway: it takes capacity from all requests, not only
-    /// time from this one.
-    pub reread_factor: f64,
-    /// Cost of each request that runs there, as a part of one full batch.
-    pub batch_ms: f64,
-    /// Cost of each request that waits there beyond the slots.
-    pub waiting_ms: f64,
-    /// Cost of another availability zone, for a model engine.
-    pub zone_engine_ms: f64,
-    /// Cost of another availability zone, for a plain service.
-    pub zone_plain_ms: f64,
-    /// Cost of one request in flight against a plain server's slots.
-    pub plain_ms: f64,
-    /// Cost of a server all of whose recent requests failed.
-    pub failure_ms: f64,
-    /// Failure rate beyond which a server is avoided while others can serve.
-    pub failure_limit: f64,
-    /// Requests that may be held per slot before a server counts as full.
-    pub fill: f64,
+    /// Prompt tokens that an engine prefills per millisecond.
+    pub prefill_tokens_per_ms: f64,
+    /// Weight of a shared token that has to be prefilled again, relative to a
+    /// token that has to be prefilled anyway. It takes capacity from all
+    /// requests, not only time from this one.
+    pub repeated_prefill_factor: f64,
+    /// Cost of a full batch; with fewer requests running, the cost is in
+    /// proportion.
+    pub full_batch_ms: f64,
+    /// Cost of each request that waits for a slot.
+    pub waiting_request_ms: f64,
+    /// Cost of a model engine in another availability zone.
+    pub engine_zone_ms: f64,
+    /// Cost of a server without an engine in another availability zone.
+    pub plain_zone_ms: f64,
+    /// Cost of a server without an engine that has one request per slot; with
+    /// more or fewer requests, the cost is in proportion.
+    pub plain_load_ms: f64,
+    /// Cost of a server whose recent requests all failed; with fewer failures,
+    /// the cost is in proportion.
+    pub failure_rate_ms: f64,
+    /// Failure rate above which a server is avoided while others can serve.
+    pub max_failure_rate: f64,
+    /// Requests per slot at which a server counts as full.
+    pub max_requests_per_slot: f64,
 }
 
 impl Default for ChoiceSettings {
     fn default() -> Self {
         Self {
-            prefill_per_ms: 80.0,
-            reread_factor: 4.0,
-            batch_ms: 120.0,
-            waiting_ms: 40.0,
-            zone_engine_ms: 4.0,
-            zone_plain_ms: 15.0,
-            plain_ms: 60.0,
-            failure_ms: 600.0,
-            failure_limit: 0.35,
-            fill: 2.0,
+            prefill_tokens_per_ms: 80.0,
+            repeated_prefill_factor: 4.0,
+            full_batch_ms: 120.0,
+            waiting_request_ms: 40.0,
+            engine_zone_ms: 4.0,
+            plain_zone_ms: 15.0,
+            plain_load_ms: 60.0,
+            failure_rate_ms: 600.0,
+            max_failure_rate: 0.35,
+            max_requests_per_slot: 2.0,
         }
     }
 }
 
-/// What is asked for.
+/// The request for which a server is chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct ChoiceAsk<'a> {
-    /// The service.
+pub struct ChoiceRequest<'a> {
+    /// The service that the request goes to.
     pub service: &'a ServiceId,
-    /// What its engines hold; `None` for a plain service.
-    pub engine: Option<EngineFacts>,
-    /// The caller's availability zone.
+    /// Limits of the service's model engines; `None` for a service without
+    /// engines.
+    pub engine: Option<EngineLimits>,
+    /// The availability zone of this instance.
     pub zone: &'a ZoneId,
-    /// The shared part that requests are brought together by.
+    /// The prompt part that determines the preferred server.
     pub affinity: Option<PromptPart>,
-    /// Tokens of all shared parts.
+    /// Tokens of all shared parts of the prompt.
     pub shared_tokens: u64,
-    /// Tokens of the request.
+    /// Token counts of the request.
     pub usage: TokenUsage,
-    /// Servers that this request was sent to before.
-    pub tried: &'a [ServerLife],
-    /// The request, if servers have crashed under it. It goes where no other
-    /// suspect runs, so that the next crash tells them apart.
+    /// Servers that the request was already sent to; they are not chosen again.
+    pub tried: &'a [ServerIncarnation],
+    /// Fingerprint of the request, if servers have crashed while running it. It
+    /// goes to a server without other suspects, so that the next crash shows
+    /// which request causes them.
     pub suspect: Option<RequestFingerprint>,
 }
 
 /// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChoiceRefusal {
-    /// No server of the service is known.
+pub enum ChoiceError {
+    /// No server of the service takes requests, apart from those that the
+    /// request was already sent to.
     Unknown,
-    /// All of them are full.
+    /// All servers are full.
     Full,
-    /// All of them want no requests for a time.
+    /// All servers asked for a pause.
     Paused,
 }
 
 /// The chosen server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerPick {
-    /// The server.
-    pub server: ServerLife,
-    /// Prompt tokens that it probably has to read.
-    pub unread_tokens: u64,
+    /// Id and start of the server.
+    pub server: ServerIncarnation,
+    /// Prompt tokens that the server probably has to prefill.
+    pub prefill_tokens: u64,
 }
 
-/// Chooses a server; the lowest cost wins.
+/// Chooses the server with the lowest cost.
 ///
 /// # Errors
 ///
-/// Tells why there is none.
+/// Why no server can take the request.
 pub fn choose_server(
     table: &ServerTable,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
-) -> Result<ServerPick, ChoiceRefusal> {
-    let fits = |entry: &&ServerEntry| {
-        entry.service == *ask.service
+) -> Result<ServerPick, ChoiceError> {
+    let is_candidate = |entry: &&ServerEntry| {
+        entry.service == *request.service
             && entry.takes_requests(now)
-            && !ask.tried.contains(&entry.life)
+            && !request.tried.contains(&entry.incarnation)
     };
-    let mut known: Vec<&ServerEntry> = table.servers().iter().filter(fits).collect();
-    if known.is_empty() {
-        return Err(ChoiceRefusal::Unknown);
+    let mut candidates: Vec<&ServerEntry> = table.servers().iter().filter(is_candidate).collect();
+    if candidates.is_empty() {
+        return Err(ChoiceError::Unknown);
     }
-    known.retain(|entry| !entry.is_paused(now));
-    if known.is_empty() {
-        return Err(ChoiceRefusal::Paused);
+    candidates.retain(|entry| !entry.is_paused(now));
+    if candidates.is_empty() {
+        return Err(ChoiceError::Paused);
     }
-    let home = home_server(&known, ask, now, settings);
-    let room = known
+    let preferred = preferred_server(&candidates, request, now, settings);
+    let available = candidates
         .iter()
-        .filter(|entry| has_room(entry, ask, now, settings));
-    // Each cost is worked out once; comparing by a closure would do it twice
-    // for every pair.
-    let costs = room.map(|entry| {
-        let penalty = penalty_ms(entry, ask, now, settings);
-        let cost = cost_ms(entry, home == Some(&entry.life), ask, now, settings);
+        .filter(|entry| has_room(entry, request, now, settings));
+    // Computes each cost once; a comparison closure would compute it twice for
+    // every pair.
+    let costs = available.map(|entry| {
+        let penalty = penalty_ms(entry, request, now, settings);
+        let cost = cost_ms(
+            entry,
+            preferred == Some(&entry.incarnation),
+            request,
+            now,
+            settings,
+        );
         (penalty + cost, entry)
     });
     let best = costs.min_by(|(a, _), (b, _)| a.total_cmp(b));
-    let (_, best) = best.ok_or(ChoiceRefusal::Full)?;
-    let held = if home == Some(&best.life) {
-        ask.shared_tokens
+    let (_, best) = best.ok_or(ChoiceError::Full)?;
+    let cached = if preferred == Some(&best.incarnation) {
+        request.shared_tokens
     } else {
         0
     };
     Ok(ServerPick {
-        server: best.life.clone(),
-        unread_tokens: ask.usage.input.get().saturating_sub(held),
+        server: best.incarnation.clone(),
+        prefill_tokens: request.usage.input.get().saturating_sub(cached),
     })
 }
 
-/// What keeps a request from a server as long as there are others.
+/// Cost that keeps a request from a server while there are others.
 fn penalty_ms(
     entry: &ServerEntry,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
-    let avoided = if is_avoided(entry, now, settings) {
-        AVOIDED_MS
+    let avoided_cost = if is_avoided(entry, now, settings) {
+        AVOIDED_COST_MS
     } else {
         0.0
     };
-    let others =
+    let is_other =
         |fingerprint: RequestFingerprint| entry.suspects.iter().any(|held| *held != fingerprint);
-    let beside = if ask.suspect.is_some_and(others) {
-        SUSPECTS_MS
+    let suspect_cost = if request.suspect.is_some_and(is_other) {
+        SUSPECT_COST_MS
     } else {
         0.0
     };
-    avoided + beside
+    avoided_cost + suspect_cost
 }
 
-/// The server that all instances prefer for the shared part, or for a suspect.
-fn home_server<'a>(
-    known: &[&'a ServerEntry],
-    ask: &ChoiceAsk<'_>,
+/// The server that all instances prefer for the same shared part or the same
+/// suspect.
+fn preferred_server<'a>(
+    candidates: &[&'a ServerEntry],
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
-) -> Option<&'a ServerLife> {
-    let key = match ask.suspect {
+) -> Option<&'a ServerIncarnation> {
+    let key = match request.suspect {
         Some(fingerprint) => fingerprint.short(),
-        None => ask.affinity?.id,
+        None => request.affinity?.id,
     };
-    let sound = known
+    let healthy = candidates
         .iter()
         .filter(|entry| !is_avoided(entry, now, settings));
-    let best = sound.max_by_key(|entry| rank(key, &entry.life.id))?;
-    Some(&best.life)
+    let best = healthy.max_by_key(|entry| rank(key, &entry.incarnation.id))?;
+    Some(&best.incarnation)
 }
 
-/// Whether a server is the last choice: unheard, failing or about to vanish.
+/// Whether a server is the last choice: unreachable, silent, failing, or
+/// without an entry at the platform.
 fn is_avoided(entry: &ServerEntry, now: ClockTime, settings: &ChoiceSettings) -> bool {
     let ServerHealth { avoided_until, .. } = entry.health;
     now < avoided_until
         || matches!(entry.phase, ServerPhase::Lapsed(_))
         || entry.silent(now)
-        || entry.failure_rate(now) > settings.failure_limit
+        || entry.failure_rate(now) > settings.max_failure_rate
 }
 
 fn has_room(
     entry: &ServerEntry,
-    ask: &ChoiceAsk<'_>,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> bool {
-    let most = f64::from(entry.slots) * settings.fill;
-    if f64::from(entry.load.estimate(now)) >= most.max(1.0) {
+    let max_requests = f64::from(entry.slots) * settings.max_requests_per_slot;
+    if f64::from(entry.load.estimate(now)) >= max_requests.max(1.0) {
         return false;
     }
-    ask.engine.is_none_or(|engine| {
-        let held = entry.load.memory_tokens + ask.usage.worst_case().get();
-        entry.load.in_flight == 0 || held <= engine.memory.get()
+    request.engine.is_none_or(|engine| {
+        let cache_tokens = entry.load.cache_tokens + request.usage.worst_case().get();
+        entry.load.in_flight == 0 || cache_tokens <= engine.memory.get()
     })
 }
 
 fn cost_ms(
     entry: &ServerEntry,
-    home: bool,
-    ask: &ChoiceAsk<'_>,
+    preferred: bool,
+    request: &ChoiceRequest<'_>,
     now: ClockTime,
     settings: &ChoiceSettings,
 ) -> f64 {
     let estimate = f64::from(entry.load.estimate(now));
     let slots = f64::from(entry.slots.max(1));
-    let failure = settings.failure_ms * entry.failure_rate(now);
-    let near = entry.zone == *ask.zone;
-    let Some(_) = ask.engine else {
-        let zone = if near { 0.0 } else { settings.zone_plain_ms };
-        return settings.plain_ms * estimate / slots + failure + zone;
+    let failure = settings.failure_rate_ms * entry.failure_rate(now);
+    let same_zone = entry.zone == *request.zone;
+    let Some(_) = request.engine else {
+        let zone = if same_zone {
+            0.0
+        } else {
+            settings.plain_zone_ms
+        };
+        return settings.plain_load_ms * estimate / slots + failure + zone;
     };
-    let zone = if near { 0.0 } else { settings.zone_engine_ms };
-    let missing = if home { 0 } else { ask.shared_tokens };
-    let missing = fraction(missing) * settings.reread_factor;
-    let unread = (fraction(entry.load.unread_tokens) + missing) / settings.prefill_per_ms;
-    let batch = settings.batch_ms * (estimate / slots).min(1.0);
-    let waiting = settings.waiting_ms * (estimate - slots).max(0.0);
-    unread + batch + waiting + failure + zone
+    let zone = if same_zone {
+        0.0
+    } else {
+        settings.engine_zone_ms
+    };
+    let uncached = if preferred { 0 } else { request.shared_tokens };
+    let uncached = fraction(uncached) * settings.repeated_prefill_factor;
+    let prefill = (fraction(entry.load.prefill_tokens) + uncached) / settings.prefill_tokens_per_ms;
+    let batch = settings.full_batch_ms * (estimate / slots).min(1.0);
+    let waiting = settings.waiting_request_ms * (estimate - slots).max(0.0);
+    prefill + batch + waiting + failure + zone
 }
 
-/// The weight of a server for a shared part: the same at every instance.
+/// Rank of a server for a prompt part or a suspect: the same at every instance.
 fn rank(part: u64, server: &BackendId) -> u64 {
     let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
     for byte in server.as_str().bytes() {
--- a/crates/guavawell-core/src/forward/mod.rs
+++ b/crates/guavawell-core/src/forward/mod.rs
@@ -1,61 +1,60 @@
-//! Forwarded requests: opaque calls that go to a backend server unchanged.
+//! Decisions about forwarded requests, which pass to a backend server
+//! unchanged.
 //!
-//! Owns the route table, what may be repeated, the choice of a backend server,
-//! its admission, and the allowance for repeats. Everything here is plain
-//! state that takes the time as an argument; carrying out is `guavawell-forward`'s.
+//! Contains the route table, the choice of a backend server, admission, the
+//! rules and the allowance for retries, and what is known of the
+//! configuration's version. All types are plain state that takes the current
+//! time as an argument; `guavawell-forward` does the I/O.
 
 mod admission;
 mod age;
-mod belief;
+mod attempt;
 mod charge;
 mod choice;
 mod congestion;
 mod connect;
-mod life;
+mod incarnation;
 mod pause;
-mod plan;
+mod poll;
 mod prompt;
-mod question;
 mod refusal;
-mod repeat;
+mod retry;
 mod route;
 mod server;
 mod table;
+mod tracker;
 
 pub use admission::AdmissionSettings;
 pub use admission::admit;
 pub use age::FeedAge;
-pub use belief::BeliefStep;
-pub use belief::ConfigBelief;
-pub use belief::ConfigSource;
+pub use attempt::AttemptEnd;
+pub use attempt::NextStep;
+pub use attempt::RetrySafety;
+pub use attempt::next_step;
 pub use charge::RequestCharge;
 pub use charge::RequestOutcome;
-pub use choice::ChoiceAsk;
-pub use choice::ChoiceRefusal;
+pub use choice::ChoiceError;
+pub use choice::ChoiceRequest;
 pub use choice::ChoiceSettings;
 pub use choice::ServerPick;
 pub use choice::choose_server;
 pub use congestion::CongestionSettings;
 pub use congestion::LinkCongestion;
-pub use connect::ConnectPace;
 pub use connect::ConnectSettings;
-pub use life::BirthTime;
-pub use life::ServerLife;
+pub use connect::ConnectTimeout;
+pub use incarnation::ServerIncarnation;
+pub use incarnation::StartTime;
 pub use pause::PauseError;
-pub use pause::read_pause;
-pub use plan::AttemptEnd;
-pub use plan::NextStep;
-pub use plan::RepeatKind;
-pub use plan::next_step;
+pub use pause::parse_pause;
+pub use poll::PollTiming;
 pub use prompt::PromptError;
 pub use prompt::PromptPart;
 pub use prompt::PromptShape;
 pub use prompt::TokenUsage;
-pub use question::QuestionPace;
 pub use refusal::ForwardRefusal;
-pub use repeat::RepeatAllowance;
-pub use repeat::RepeatSettings;
-pub use route::EngineFacts;
+pub use retry::RetryAllowance;
+pub use retry::RetryLimits;
+pub use route::EngineLimits;
 pub use route::ForwardConfig;
 pub use route::ForwardLimits;
 pub use route::OrganisationEntry;
@@ -69,3 +68,6 @@
 pub use server::ServerHealth;
 pub use server::ServerPhase;
 pub use table::ServerTable;
+pub use tracker::ConfigAction;
+pub use tracker::ConfigSource;
+pub use tracker::VersionTracker;
--- /dev/null
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -0,0 +1,119 @@
+//! Allowance for retries.
+//!
+//! In any window, the whole fleet may retry a fixed fraction of a service's
+//! requests plus a fixed number. Each instance keeps to its share of both, so
+//! that instances need no coordination.
+
+use std::collections::VecDeque;
+
+use crate::clock::ClockSpan;
+use crate::clock::ClockTime;
+use crate::id::ServiceId;
+use crate::number::fraction;
+
+/// Number of slices that a window is counted in.
+const SLICES_PER_WINDOW: u64 = 10;
+
+/// How much may be retried.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryLimits {
+    /// Retries per request of a service.
+    pub ratio: f64,
+    /// Additional retries of a service, for the whole fleet.
+    pub extra: f64,
+    /// The window in which both are counted.
+    pub window: ClockSpan,
+    /// Number of instances that share `extra`.
+    pub instances: usize,
+    /// Fraction of the allowance that is used. The rest is a margin for windows
+    /// that include a retry but not all requests that it was counted against.
+    pub used_fraction: f64,
+}
+
+impl Default for RetryLimits {
+    fn default() -> Self {
+        Self {
+            ratio: 0.2,
+            extra: 50.0,
+            window: ClockSpan::from_millis(10_000),
+            instances: 6,
+            used_fraction: 0.75,
+        }
+    }
+}
+
+/// One instance's count of requests and retries for each service.
+#[derive(Clone, Debug, Default)]
+pub struct RetryAllowance {
+    /// Sorted by service.
+    services: Vec<(ServiceId, VecDeque<WindowSlice>)>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct WindowSlice {
+    started_at: ClockTime,
+    requests: u32,
+    retries: u32,
+}
+
+impl RetryAllowance {
+    /// Counts the first attempt of a request.
+    pub fn count_request(&mut self, service: &ServiceId, now: ClockTime, window: ClockSpan) {
+        self.slice(service, now, window).requests += 1;
+    }
+
+    /// Whether one retry may be sent now; counts it if so.
+    pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RetryLimits) -> bool {
+        self.slice(service, now, settings.window);
+        let slices = self.slices(service);
+        let requests: u32 = slices.iter().map(|slice| slice.requests).sum();
+        let retries: u32 = slices.iter().map(|slice| slice.retries).sum();
+        let shared = settings.extra / fraction(settings.instances.max(1) as u64);
+        let max_retries = settings.used_fraction * (settings.ratio * f64::from(requests) + shared);
+        if f64::from(retries) + 1.0 > max_retries {
+            return false;
+        }
+        self.slice(service, now, settings.window).retries += 1;
+        true
+    }
+
+    fn slices(&self, service: &ServiceId) -> &VecDeque<WindowSlice> {
+        let index = self.services.binary_search_by(|(id, _)| id.cmp(service));
+        &self.services[index.expect("the slice was just made")].1
+    }
+
+    fn slice(
+        &mut self,
+        service: &ServiceId,
+        now: ClockTime,
+        window: ClockSpan,
+    ) -> &mut WindowSlice {
+        let index = match self.services.binary_search_by(|(id, _)| id.cmp(service)) {
+            Ok(index) => index,
+            Err(index) => {
+                let entry = (service.clone(), VecDeque::new());
+                self.services.insert(index, entry);
+                index
+            }
+        };
+        let slices = &mut self.services[index].1;
+        while slices
+            .front()
+            .is_some_and(|slice| now.since(slice.started_at) > window)
+        {
+            slices.pop_front();
+        }
+        let length = ClockSpan::from_millis(window.as_millis() / SLICES_PER_WINDOW);
+        let is_current = slices
+            .back()
+            .is_some_and(|slice| now.since(slice.started_at) < length);
+        if !is_current {
+            slices.push_back(WindowSlice {
+                started_at: now,
+                requests: 0,
+                retries: 0,
+            });
+        }
+        slices.back_mut().expect("a slice was just made")
+    }
+}
--- a/crates/guavawell-core/tests/forward/congestion.rs
+++ b/crates/guavawell-core/tests/forward/congestion.rs
@@ -1,4 +1,4 @@
-//! A full link, told by connections that take long.
+//! Detection of a full link from slow connections.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -9,11 +9,11 @@
 use crate::support::START;
 
 /// Load of one organisation's callers, as a multiple of what the link carries.
-const PRESSED: f64 = 1.8;
-/// Requests that the link carries in a second.
-const CARRIED: f64 = 150.0;
-/// Length of the queue before the link, in seconds of what it carries.
-const QUEUE: f64 = 0.5;
+const OVERLOAD: f64 = 1.8;
+/// Requests that the link carries per second.
+const LINK_RATE: f64 = 150.0;
+/// Length of the link's queue, in seconds of its full rate.
+const QUEUE_SECONDS: f64 = 0.5;
 
 fn later(millis: u64) -> ClockTime {
     START + ClockSpan::from_millis(millis)
@@ -23,39 +23,44 @@
     ClockSpan::from_millis(millis)
 }
 
-/// Plays callers before one instance for so many seconds, in steps of 10 ms: a
-/// connection waits as long as the queue is. Callers press from 2 to 8 s; where
-/// the instance is not ready, those beyond the usual go elsewhere. Returns the
-/// share of the pressed seconds in which the queue was full.
-fn full_share(heeded: bool) -> f64 {
+/// Simulates callers of one instance for 10 s in steps of 10 ms. A connection
+/// takes as long as the queue. The callers overload the link from 2 s to 8 s;
+/// if `balancer_follows`, the load returns to normal while the instance is not
+/// ready. Returns the fraction of the overloaded time in which the queue was
+/// full.
+fn full_share(balancer_follows: bool) -> f64 {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     let (mut queue, mut full, mut steps) = (0.0, 0.0, 0.0);
     for step in 0..1_000 {
         let now = later(step * 10);
-        let pressed = (200..800).contains(&step);
-        let away = heeded && link.is_full(now);
-        let load = if pressed && !away { PRESSED } else { 0.6 };
-        queue = (queue + (load - 1.0) * CARRIED / 100.0).clamp(0.0, QUEUE * CARRIED);
-        let waits_ms = queue / CARRIED * 1_000.0;
+        let overloaded = (200..800).contains(&step);
+        let redirected = balancer_follows && link.is_full(now);
+        let load = if overloaded && !redirected {
+            OVERLOAD
+        } else {
+            0.6
+        };
+        queue = (queue + (load - 1.0) * LINK_RATE / 100.0).clamp(0.0, QUEUE_SECONDS * LINK_RATE);
+        let waits_ms = queue / LINK_RATE * 1_000.0;
         link.connected(span(2 + whole(waits_ms)), now);
-        if pressed {
+        if overloaded {
             steps += 1.0;
-            full += f64::from(u8::from(queue >= QUEUE * CARRIED * 0.9));
+            full += f64::from(u8::from(queue >= QUEUE_SECONDS * LINK_RATE * 0.9));
         }
     }
     full / steps
 }
 
 #[test]
-fn callers_that_are_sent_elsewhere_leave_the_link_open() {
+fn reporting_not_ready_relieves_a_full_link() {
     let (before, with) = (full_share(false), full_share(true));
-    println!("full {before:.2} of the time, {with:.2} where it is not ready");
+    println!("full {before:.2} of the time, {with:.2} if it reports not ready");
     assert!(before > 0.8, "{before}");
     assert!(with < before / 2.0, "{with} of {before}");
 }
 
 #[test]
-fn a_short_burst_sends_nobody_away() {
+fn a_short_burst_does_not_make_the_link_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..140 {
         link.connected(span(300), later(step * 10));
@@ -64,7 +69,7 @@
 }
 
 #[test]
-fn one_quick_connection_shows_that_the_link_is_not_full() {
+fn one_fast_connection_shows_that_the_link_is_not_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
         link.connected(span(300), later(step * 10));
@@ -75,7 +80,7 @@
 }
 
 #[test]
-fn servers_of_which_some_are_slow_do_not_count() {
+fn some_slow_servers_do_not_make_the_link_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..600 {
         let took = if step % 3 == 0 { 2 } else { 900 };
@@ -85,7 +90,7 @@
 }
 
 #[test]
-fn dead_servers_alone_say_nothing_and_after_slow_connections_they_do() {
+fn timeouts_count_only_after_slow_connections() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..300 {
         link.late(later(step * 10));
@@ -99,14 +104,14 @@
 }
 
 #[test]
-fn an_instance_that_nobody_asks_is_ready_again() {
+fn an_instance_without_connections_becomes_ready_again() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
         link.connected(span(300), later(step * 10));
     }
     assert!(link.is_full(later(2_900)));
     assert!(!link.is_full(later(3_000)));
-    // A slow one after a while begins anew.
+    // A slow connection after a pause starts a new streak.
     link.connected(span(300), later(9_000));
     assert!(!link.is_full(later(9_000)));
 }
--- a/crates/guavawell-core/tests/forward/repeat.rs
+++ b/crates/guavawell-core/tests/forward/retry.rs
@@ -1,19 +1,19 @@
-//! The allowance for repeats.
+//! The allowance for retries.
 
 use guavawell_core::clock::ClockSpan;
-use guavawell_core::forward::RepeatAllowance;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::RetryAllowance;
+use guavawell_core::forward::RetryLimits;
 
 use crate::support::START;
 use crate::support::service;
 
 #[test]
-fn six_instances_together_stay_within_the_fleets_allowance_in_any_window() {
-    let settings = RepeatSettings::default();
-    let mut instances = vec![RepeatAllowance::default(); settings.instances];
+fn six_instances_together_keep_to_the_allowance_of_the_fleet_in_any_window() {
+    let settings = RetryLimits::default();
+    let mut instances = vec![RetryAllowance::default(); settings.instances];
     let mut sent: Vec<(u64, bool)> = Vec::new();
     let mut random = fastrand::Rng::with_seed(3);
-    // A surge of failures: every request wants a repeat, at an uneven rate.
+    // Every request fails and needs a retry; the rate of requests is uneven.
     for millis in (0..60_000).step_by(10) {
         let now = START + ClockSpan::from_millis(millis);
         let burst = if millis % 20_000 < 5_000 { 3 } else { 1 };
@@ -29,29 +29,29 @@
     let window = settings.window.as_millis();
     for begin in (0..60_000).step_by(500) {
         let inside = |(at, _): &&(u64, bool)| (begin..begin + window).contains(at);
-        let repeats = sent
+        let retries = sent
             .iter()
             .filter(inside)
-            .filter(|(_, repeat)| *repeat)
+            .filter(|(_, is_retry)| *is_retry)
             .count();
         let requests = sent
             .iter()
             .filter(inside)
-            .filter(|(_, repeat)| !repeat)
+            .filter(|(_, is_retry)| !is_retry)
             .count();
-        let most = requests as u64 / 5 + 50;
+        let max_retries = requests as u64 / 5 + 50;
         assert!(
-            repeats as u64 <= most,
-            "{repeats} repeats of {requests} at {begin}"
+            retries as u64 <= max_retries,
+            "{retries} retries of {requests} at {begin}"
         );
     }
-    assert!(sent.iter().any(|(_, repeat)| *repeat));
+    assert!(sent.iter().any(|(_, is_retry)| *is_retry));
 }
 
 #[test]
-fn without_requests_only_the_shared_part_is_left() {
-    let settings = RepeatSettings::default();
-    let mut allowance = RepeatAllowance::default();
+fn without_requests_only_the_share_of_the_fixed_number_is_allowed() {
+    let settings = RetryLimits::default();
+    let mut allowance = RetryAllowance::default();
     let taken = (0..100).filter(|_| allowance.take(&service(), START, &settings));
     assert_eq!(taken.count(), 6);
 }
--- a/crates/guavawell-core/tests/forward/route.rs
+++ b/crates/guavawell-core/tests/forward/route.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::PromptShape;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::forward::RouteEntry;
 use guavawell_core::forward::RouteShare;
 use guavawell_core::forward::RouteTable;
@@ -19,7 +19,7 @@
         host: host.into(),
         prefix: prefix.into(),
         shares: shares.iter().map(share).collect(),
-        repeat: RepeatKind::Once,
+        retry_safety: RetrySafety::Once,
         streaming: false,
         time_limit: ClockSpan::from_millis(1_000),
         target: ClockSpan::from_millis(100),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn token_counts_and_parts_are_read_or_refused() {
+fn token_counts_and_parts_are_parsed_or_rejected() {
     let usage: TokenUsage = "1460,80".parse().expect("counts");
     assert_eq!(usage.worst_case(), TokenCount::new(1_540));
     for malformed in ["", "1460", "1460,", "a,b", "-1,2", "1,2,3"] {
--- a/crates/guavawell-core/tests/forward/support.rs
+++ b/crates/guavawell-core/tests/forward/support.rs
@@ -1,32 +1,32 @@
-//! Servers and asks for the tests.
+//! Servers and requests for the tests.
 
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BirthTime;
-use guavawell_core::forward::ChoiceAsk;
+use guavawell_core::forward::ChoiceRequest;
 use guavawell_core::forward::ChoiceSettings;
-use guavawell_core::forward::EngineFacts;
+use guavawell_core::forward::EngineLimits;
 use guavawell_core::forward::LoadFigures;
 use guavawell_core::forward::PromptPart;
 use guavawell_core::forward::ServerEntry;
 use guavawell_core::forward::ServerHealth;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::forward::ServerTable;
+use guavawell_core::forward::StartTime;
 use guavawell_core::forward::TokenUsage;
 use guavawell_core::forward::choose_server;
 use guavawell_core::id::ServiceId;
 use guavawell_core::id::TokenCount;
 use guavawell_core::id::ZoneId;
 
-/// The engines of the tests.
-pub const ENGINE: EngineFacts = EngineFacts {
+/// Limits of the tests' engines.
+pub const ENGINE: EngineLimits = EngineLimits {
     slots: 8,
     memory: TokenCount::new(200_000),
     event_tokens: 5,
 };
 
-/// A time well after the epoch.
+/// Start of the tests' clock, well after its epoch.
 pub const START: ClockTime = ClockTime::from_millis(1_000_000);
 
 pub fn service() -> ServiceId {
@@ -37,35 +37,35 @@
     name.parse().expect("a valid id")
 }
 
-pub fn server(number: usize) -> ServerLife {
-    born(number, 1)
+pub fn server(number: usize) -> ServerIncarnation {
+    server_started_at(number, 1)
 }
 
-/// The life of a server that began at a time.
-pub fn born(number: usize, millis: u64) -> ServerLife {
-    ServerLife {
+/// The incarnation of a server that started at `millis`.
+pub fn server_started_at(number: usize, millis: u64) -> ServerIncarnation {
+    ServerIncarnation {
         id: format!("i-{number:03}").parse().expect("a valid id"),
-        born: Some(BirthTime::from_millis(millis)),
+        born: Some(StartTime::from_millis(millis)),
     }
 }
 
-/// A ready server without load.
-pub fn entry(life: ServerLife) -> ServerEntry {
+/// The entry of a ready server without load.
+pub fn entry(incarnation: ServerIncarnation) -> ServerEntry {
     ServerEntry {
-        life,
+        incarnation,
         service: service(),
         address: ([10, 0, 0, 1], 8_000).into(),
         zone: zone("z1"),
         slots: 8,
         phase: ServerPhase::Ready,
-        said_leaving: false,
+        announced_leaving: false,
         load: LoadFigures::default(),
         health: ServerHealth::default(),
         suspects: Vec::new(),
     }
 }
 
-/// Ready servers, in two zones by turns.
+/// A table of ready servers, alternating between two zones.
 pub fn table(count: usize) -> ServerTable {
     let mut table = ServerTable::default();
     for number in 0..count {
@@ -77,41 +77,41 @@
     table
 }
 
-/// A request with a shared part.
+/// A request whose prompt has a shared part.
 #[derive(Clone, Copy)]
-pub struct Ask {
+pub struct TestRequest {
     pub part: u64,
     pub shared: u64,
     pub input: u64,
 }
 
-pub fn choose(table: &ServerTable, ask: Ask, now: ClockTime) -> Option<ServerPick> {
-    choose_without(table, ask, now, &[])
+pub fn choose(table: &ServerTable, request: TestRequest, now: ClockTime) -> Option<ServerPick> {
+    choose_without(table, request, now, &[])
 }
 
 pub fn choose_without(
     table: &ServerTable,
-    ask: Ask,
+    request: TestRequest,
     now: ClockTime,
-    tried: &[ServerLife],
+    tried: &[ServerIncarnation],
 ) -> Option<ServerPick> {
     let service = service();
     let zone = zone("z1");
-    let ask = ChoiceAsk {
+    let choice_request = ChoiceRequest {
         service: &service,
         engine: Some(ENGINE),
         zone: &zone,
         affinity: Some(PromptPart {
-            id: ask.part,
-            tokens: TokenCount::new(ask.shared),
+            id: request.part,
+            tokens: TokenCount::new(request.shared),
         }),
-        shared_tokens: ask.shared,
+        shared_tokens: request.shared,
         usage: TokenUsage {
-            input: TokenCount::new(ask.input),
+            input: TokenCount::new(request.input),
             output_limit: TokenCount::new(100),
         },
         tried,
         suspect: None,
     };
-    choose_server(table, &ask, now, &ChoiceSettings::default()).ok()
+    choose_server(table, &choice_request, now, &ChoiceSettings::default()).ok()
 }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -1,6 +1,6 @@
 //! The configuration in force at this instance, and how old it may be.
 //!
-//! `guavawell_core::forward::ConfigBelief` decides which version comes into force.
+//! `guavawell_core::forward::VersionTracker` decides which version comes into force.
 //! This module holds the configurations themselves, and fetches newer ones from
 //! other instances while the store does not answer.
 
@@ -14,11 +14,11 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::BeliefStep;
-use guavawell_core::forward::ConfigBelief;
+use guavawell_core::forward::ConfigAction;
 use guavawell_core::forward::ConfigSource;
 use guavawell_core::forward::ForwardConfig;
-use guavawell_core::forward::QuestionPace;
+use guavawell_core::forward::PollTiming;
+use guavawell_core::forward::VersionTracker;
 use guavawell_core::number::fraction;
 use guavawell_fleet::event::EventDraft;
 use guavawell_fleet::event::EventLog;
@@ -72,7 +72,7 @@
     clock: SteadyClock,
     log: EventLog,
     decode: ConfigDecoder,
-    versions: RefCell<ConfigBelief>,
+    versions: RefCell<VersionTracker>,
     /// The configuration in force.
     current: RefCell<Option<Rc<ForwardConfig>>>,
     /// The newest configuration read from the store.
@@ -93,15 +93,10 @@
 impl ConfigTracker {
     /// Creates a tracker without a configuration.
     #[must_use]
-    pub fn new(
-        pace: QuestionPace,
-        clock: SteadyClock,
-        log: EventLog,
-        decode: ConfigDecoder,
-    ) -> Self {
+    pub fn new(pace: PollTiming, clock: SteadyClock, log: EventLog, decode: ConfigDecoder) -> Self {
         Self {
             overdue_after: pace.overdue_after(0),
-            answer_timeout: pace.late_after(),
+            answer_timeout: pace.poll_timeout(),
             answer_event: Event::new(),
             query_due_at: Cell::new(None),
             query_wakeup: Event::new(),
@@ -153,7 +148,7 @@
     pub async fn await_check(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
         if !wait_while(&self.clock, &self.answer_event, max_wait, awaited).await {
-            self.versions.borrow_mut().age_mut().waited_in_vain();
+            self.versions.borrow_mut().age_mut().wait_timed_out();
         }
     }
 
@@ -167,7 +162,7 @@
 
     /// Processes the store's answer to a poll sent at `sent_at`. Returns the
     /// configuration if the answer holds one that can be decoded.
-    pub fn store_told(
+    pub fn store_answered(
         &self,
         fetched: FetchedConfig<'_>,
         sent_at: ClockTime,
@@ -191,7 +186,7 @@
             .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
         let mut versions = self.versions.borrow_mut();
-        let step = versions.store_told(config.version, revision, sent_at, now);
+        let step = versions.store_answered(config.version, revision, sent_at, now);
         drop(versions);
         self.cache_stored(&config, bytes);
         self.apply_step(step, Some(&config), sent_at, now);
@@ -249,7 +244,7 @@
     #[must_use]
     pub fn answer_peer(&self, known: u64) -> Option<PeerConfig> {
         let versions = self.versions.borrow();
-        let version = versions.proved_version()?;
+        let version = versions.confirmed_version()?;
         let age = versions.age().at(self.clock.boot_now())?;
         let stored = self.stored.borrow();
         let stored = stored
@@ -278,7 +273,7 @@
         if answer.bytes.is_empty() {
             let mut versions = self.versions.borrow_mut();
             if !versions.is_behind(answer.version) {
-                versions.instance_told(answer.version, answer.age, sent_at, now);
+                versions.instance_answered(answer.version, answer.age, sent_at, now);
             }
             return Ok(false);
         }
@@ -288,9 +283,9 @@
             return Err(format!("the answer names version {named}, its row has {held}").into());
         }
         let mut versions = self.versions.borrow_mut();
-        let step = versions.instance_told(answer.version, answer.age, sent_at, now);
+        let step = versions.instance_answered(answer.version, answer.age, sent_at, now);
         drop(versions);
-        if step != BeliefStep::Take {
+        if step != ConfigAction::Apply {
             return Ok(false);
         }
         let response_ms = now.since(sent_at).as_millis();
@@ -322,17 +317,17 @@
     /// Carries out the decision that follows from an answer of the store.
     fn apply_step(
         &self,
-        step: BeliefStep,
+        step: ConfigAction,
         fetched: Option<&Rc<ForwardConfig>>,
         sent_at: ClockTime,
         now: ClockTime,
     ) {
         self.answer_event.notify(usize::MAX);
         match (step, fetched) {
-            (BeliefStep::Take, Some(config)) => {
+            (ConfigAction::Apply, Some(config)) => {
                 self.activate(config, ConfigSource::Store, now.since(sent_at));
             }
-            (BeliefStep::Disown, _) => self.revert(),
+            (ConfigAction::Revert, _) => self.revert(),
             _ => {}
         }
     }
--- a/crates/guavawell-forward/src/connect.rs
+++ b/crates/guavawell-forward/src/connect.rs
@@ -2,8 +2,8 @@
 //! one.
 
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::RepeatKind;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::RetrySafety;
+use guavawell_core::forward::ServerIncarnation;
 
 use crate::clock::timer_span;
 use crate::crash::note_refused;
@@ -17,10 +17,10 @@
 pub async fn open_channel(
     router: &ForwardRouter,
     call: &ForwardCall<'_>,
-    server: &ServerLife,
+    server: &ServerIncarnation,
 ) -> Option<HttpChannel> {
     let times = &router.settings.times;
-    let once = call.route.repeat == RepeatKind::Once;
+    let once = call.route.retry_safety == RetrySafety::Once;
     let max_idle = if once { times.idle_once } else { times.idle };
     let now = router.clock.now();
     let idle = router.pool.borrow_mut().take(server, now, max_idle);
@@ -58,14 +58,14 @@
     router.connect_pace.set(pace);
 }
 
-fn note_connect_failure(router: &ForwardRouter, server: &ServerLife, error: &ChannelError) {
+fn note_connect_failure(router: &ForwardRouter, server: &ServerIncarnation, error: &ChannelError) {
     if error.is_connection_refused() {
         note_refused(router, server);
         return;
     }
     let now = router.clock.now();
     if let Some(entry) = router.servers.borrow_mut().get_mut(server) {
-        entry.refuse(now);
+        entry.record_connect_failure(now);
     }
     router.pool.borrow_mut().drop_connections(server);
 }
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -18,7 +18,7 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::poison::OrganisationTag;
 use guavawell_core::poison::RequestFingerprint;
@@ -53,7 +53,7 @@
 /// One check of a server.
 #[derive(Debug)]
 struct CrashCheck {
-    server: ServerLife,
+    server: ServerIncarnation,
     began: ClockTime,
     /// Whether the server has crashed; `None` until the check is finished.
     crashed: Cell<Option<bool>>,
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct AbandonedAttempt {
     /// The server to which the request was sent.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// The request's fingerprint.
     pub fingerprint: RequestFingerprint,
     /// The organisation that sent the request.
@@ -83,14 +83,14 @@
     abandoned: RefCell<VecDeque<(ClockTime, AbandonedAttempt)>>,
     /// Connections that servers accepted and that are still to be checked
     /// again.
-    accepted: RefCell<Vec<(ServerLife, HttpChannel)>>,
+    accepted: RefCell<Vec<(ServerIncarnation, HttpChannel)>>,
     accepted_event: Event,
 }
 
 impl CrashChecks {
     /// Returns a check of the server whose result still applies, or that is
     /// still running.
-    fn find_check(&self, server: &ServerLife, now: ClockTime) -> Option<Rc<CrashCheck>> {
+    fn find_check(&self, server: &ServerIncarnation, now: ClockTime) -> Option<Rc<CrashCheck>> {
         let mut checks = self.checks.borrow_mut();
         checks.retain(|check| now.since(check.began) < CHECK_TTL);
         let is_current = |check: &&Rc<CrashCheck>| {
@@ -107,7 +107,7 @@
         checks.iter().rev().find(is_current).cloned()
     }
 
-    fn start_check(&self, server: &ServerLife, now: ClockTime) -> Rc<CrashCheck> {
+    fn start_check(&self, server: &ServerIncarnation, now: ClockTime) -> Rc<CrashCheck> {
         let check = Rc::new(CrashCheck {
             server: server.clone(),
             began: now,
@@ -130,7 +130,7 @@
 
     /// Removes and returns the attempts that were abandoned at a server within
     /// [`ABANDONED_TTL`].
-    fn take_abandoned(&self, server: &ServerLife, now: ClockTime) -> Vec<AbandonedAttempt> {
+    fn take_abandoned(&self, server: &ServerIncarnation, now: ClockTime) -> Vec<AbandonedAttempt> {
         let mut abandoned = self.abandoned.borrow_mut();
         abandoned.retain(|(at, _)| now.since(*at) < ABANDONED_TTL);
         let (matching, others): (VecDeque<_>, VecDeque<_>) = abandoned
@@ -191,7 +191,7 @@
 
 /// Whether a server that just broke off a response has crashed. A leaving
 /// server is never treated as crashed.
-async fn has_crashed(router: &ForwardRouter, server: &ServerLife) -> bool {
+async fn has_crashed(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
     let listed = router.servers.borrow().get(server).map(|held| held.phase);
     if listed == Some(ServerPhase::Leaving) {
         return false;
@@ -218,7 +218,7 @@
     check.crashed.get().unwrap_or(false)
 }
 
-async fn probe_server(router: &ForwardRouter, server: &ServerLife) -> bool {
+async fn probe_server(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
     let Some(address) = router.servers.borrow().get(server).map(|held| held.address) else {
         return false;
     };
@@ -276,12 +276,12 @@
 /// Handles a refused connection: other servers are preferred for a while.
 /// Unless the server was leaving, the refusal counts as a crash, and requests
 /// abandoned at the server shortly before are suspected.
-pub fn note_refused(router: &ForwardRouter, server: &ServerLife) {
+pub fn note_refused(router: &ForwardRouter, server: &ServerIncarnation) {
     let now = router.clock.now();
     let mut servers = router.servers.borrow_mut();
     let mut leaves = false;
     if let Some(entry) = servers.get_mut(server) {
-        entry.refuse(now);
+        entry.record_connect_failure(now);
         leaves = entry.phase == ServerPhase::Leaving;
     }
     drop(servers);
--- a/crates/guavawell-forward/src/in_flight.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPick;
 use guavawell_core::poison::RequestFingerprint;
 
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub struct InFlightGuard {
     router: Rc<ForwardRouter>,
-    server: ServerLife,
-    unread_tokens: Cell<u64>,
+    server: ServerIncarnation,
+    prefill_tokens: Cell<u64>,
     memory_tokens: u64,
     /// The request's fingerprint, if servers have crashed while running it.
     suspect: Option<RequestFingerprint>,
@@ -32,13 +32,13 @@
     ) -> Self {
         let now = router.clock.now();
         if let Some(server) = router.servers.borrow_mut().get_mut(&pick.server) {
-            server.begin(now, pick.unread_tokens, memory_tokens);
+            server.begin(now, pick.prefill_tokens, memory_tokens);
             server.suspects.extend(suspect);
         }
         Self {
             router: Rc::clone(router),
             server: pick.server.clone(),
-            unread_tokens: Cell::new(pick.unread_tokens),
+            prefill_tokens: Cell::new(pick.prefill_tokens),
             memory_tokens,
             suspect,
         }
@@ -46,21 +46,21 @@
 
     /// The server that runs the request.
     #[must_use]
-    pub const fn server(&self) -> &ServerLife {
+    pub const fn server(&self) -> &ServerIncarnation {
         &self.server
     }
 
     /// Records that bytes were received from the server.
     pub fn note_received(&self) {
         let now = self.router.clock.now();
-        self.change(|server| server.health.heard_at = now);
+        self.change(|server| server.health.last_received_at = now);
     }
 
     /// Records that the server has processed the prompt.
     pub fn prompt_read(&self) {
-        let unread_tokens = self.unread_tokens.replace(0);
+        let prefill_tokens = self.prefill_tokens.replace(0);
         self.change(|server| {
-            server.load.unread_tokens = server.load.unread_tokens.saturating_sub(unread_tokens);
+            server.load.prefill_tokens = server.load.prefill_tokens.saturating_sub(prefill_tokens);
         });
     }
 
@@ -90,7 +90,7 @@
     fn has_restarted(&self) -> bool {
         let servers = self.router.servers.borrow();
         let newest = servers.newest(&self.server.id);
-        newest.is_some_and(|entry| entry.life.born > self.server.born)
+        newest.is_some_and(|entry| entry.incarnation.born > self.server.born)
     }
 
     /// Adds the outcome of the request to the server's failure rate. Called
@@ -110,10 +110,10 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let unread_tokens = self.unread_tokens.get();
+        let prefill_tokens = self.prefill_tokens.get();
         let memory_tokens = self.memory_tokens;
         self.change(|server| {
-            server.finish(unread_tokens, memory_tokens);
+            server.finish(prefill_tokens, memory_tokens);
             let index = server
                 .suspects
                 .iter()
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -2,7 +2,7 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 
 use crate::http::FieldList;
 use crate::http::HttpChannel;
@@ -25,7 +25,7 @@
 pub struct ConnectionPool {
     /// Sorted by server; the connections of each are ordered from oldest to
     /// newest.
-    servers: Vec<(ServerLife, Vec<IdleChannel>)>,
+    servers: Vec<(ServerIncarnation, Vec<IdleChannel>)>,
 }
 
 impl ConnectionPool {
@@ -33,7 +33,7 @@
     /// at most.
     pub fn take(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         now: ClockTime,
         max_idle: ClockSpan,
     ) -> Option<HttpChannel> {
@@ -55,7 +55,7 @@
     /// `keep`.
     pub fn put(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         channel: HttpChannel,
         now: ClockTime,
         keep: ClockSpan,
@@ -78,7 +78,7 @@
     }
 
     /// Closes all idle connections to a server.
-    pub fn drop_connections(&mut self, server: &ServerLife) {
+    pub fn drop_connections(&mut self, server: &ServerIncarnation) {
         if let Ok(index) = self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
             self.servers.remove(index);
         }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -4,7 +4,7 @@
 
 use guavawell_core::clock::ClockTime;
 use guavawell_core::forward::AttemptEnd;
-use guavawell_core::forward::RepeatKind;
+use guavawell_core::forward::RetrySafety;
 use guavawell_core::id::TokenCount;
 
 use crate::attempt::AttemptOutcome;
@@ -214,7 +214,7 @@
     buffered: &mut Vec<u8>,
 ) -> Result<bool, ChannelError> {
     let resumable =
-        call.route.repeat == RepeatKind::Resumable && progress.sent < call.route.attempts;
+        call.route.retry_safety == RetrySafety::Resumable && progress.sent < call.route.attempts;
     let silence = router.settings.times.stream_silence;
     loop {
         let left = router.clock.left(call.deadline);
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -7,14 +7,14 @@
 use event_listener::Event;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::ConnectPace;
+use guavawell_core::forward::ConnectTimeout;
 use guavawell_core::forward::FeedAge;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::LinkCongestion;
-use guavawell_core::forward::RepeatAllowance;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::RetryAllowance;
+use guavawell_core::forward::RetryLimits;
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
+use guavawell_core::forward::ServerIncarnation;
 use guavawell_core::forward::ServerPhase;
 use guavawell_core::forward::ServerTable;
 use guavawell_core::id::BackendId;
@@ -74,9 +74,9 @@
     /// not make the process unready.
     budgets_opened: Cell<bool>,
     /// The budget for retries.
-    pub repeats: RefCell<RepeatAllowance>,
+    pub repeats: RefCell<RetryAllowance>,
     /// Recent connection times, from which the connect timeout is derived.
-    pub connect_pace: Cell<ConnectPace>,
+    pub connect_pace: Cell<ConnectTimeout>,
     /// Detects from connection times whether this instance's network link is
     /// full.
     link_congestion: Cell<LinkCongestion>,
@@ -141,7 +141,7 @@
     /// Handles the store's answer to a query for the configuration that was
     /// sent at `asked`.
     pub fn config_received(&self, fetched: FetchedConfig<'_>, asked: ClockTime) {
-        let Some(config) = self.configs.store_told(fetched, asked) else {
+        let Some(config) = self.configs.store_answered(fetched, asked) else {
             return;
         };
         self.apply_paid_amounts(&config);
@@ -166,28 +166,28 @@
 
     /// Adds or updates a server that the platform lists.
     pub fn update_server(&self, entry: ServerEntry) {
-        let life = entry.life.clone();
+        let incarnation = entry.incarnation.clone();
         let phase = entry.phase;
         let mut servers = self.servers.borrow_mut();
-        let before = servers.get(&life).map(|held| held.phase);
+        let before = servers.get(&incarnation).map(|held| held.phase);
         let former = servers.upsert(entry);
-        let after = servers.get(&life).map(|held| held.phase);
+        let after = servers.get(&incarnation).map(|held| held.phase);
         drop(servers);
         if let Some(former) = former {
-            self.drop_former_life(&former, &life);
+            self.drop_former_life(&former, &incarnation);
         }
         if before != after {
-            self.log_server("server.listed", &life, phase);
+            self.log_server("server.listed", &incarnation, phase);
         }
     }
 
     /// Drops the connections to a server's previous process and wakes the
     /// requests that wait for its responses.
-    fn drop_former_life(&self, former: &ServerLife, life: &ServerLife) {
+    fn drop_former_life(&self, former: &ServerIncarnation, incarnation: &ServerIncarnation) {
         self.pool.borrow_mut().drop_connections(former);
         self.restart_event.notify(usize::MAX);
         let draft = EventDraft::new("server.reborn")
-            .field("life", life)
+            .field("life", incarnation)
             .field("before", former);
         self.log.emit(draft);
     }
@@ -195,10 +195,10 @@
     /// Whether a server still accepts requests. It may have started to leave,
     /// or asked for a pause, while a connection to it was being opened.
     #[must_use]
-    pub fn takes_requests(&self, life: &ServerLife) -> bool {
+    pub fn takes_requests(&self, incarnation: &ServerIncarnation) -> bool {
         let now = self.clock.now();
         let servers = self.servers.borrow();
-        let entry = servers.get(life);
+        let entry = servers.get(incarnation);
         entry.is_some_and(|held| held.takes_requests(now) && !held.is_paused(now))
     }
 
@@ -206,7 +206,7 @@
     pub fn remove_unlisted_server(&self, id: &BackendId) {
         let now = self.clock.now();
         let lapse = &self.settings.times.lapse;
-        let phase = lapse.vanished(now, self.platform_failed_at.get());
+        let phase = lapse.phase_after_removal(now, self.platform_failed_at.get());
         self.remove_server("server.unlisted", id, phase);
     }
 
@@ -218,22 +218,25 @@
 
     fn remove_server(&self, kind: &str, id: &BackendId, phase: ServerPhase) {
         let mut servers = self.servers.borrow_mut();
-        let Some(life) = servers.newest(id).map(|entry| entry.life.clone()) else {
+        let Some(incarnation) = servers.newest(id).map(|entry| entry.incarnation.clone()) else {
             return;
         };
-        servers.remove(&life, phase);
+        servers.remove(&incarnation, phase);
         drop(servers);
-        self.log_server(kind, &life, phase);
+        self.log_server(kind, &incarnation, phase);
     }
 
     /// Replaces the list of servers: those missing from it are removed, and
     /// those with `unreadable` entries are no longer used.
     pub fn replace_server_list(&self, entries: Vec<ServerEntry>, unreadable: &[BackendId]) {
-        let readable = entries.iter().map(|entry| &entry.life.id);
+        let readable = entries.iter().map(|entry| &entry.incarnation.id);
         let mut listed: Vec<BackendId> = readable.chain(unreadable).cloned().collect();
         listed.sort();
         let known = self.servers.borrow();
-        let ids = known.servers().iter().map(|entry| entry.life.id.clone());
+        let ids = known
+            .servers()
+            .iter()
+            .map(|entry| entry.incarnation.id.clone());
         let missing: Vec<BackendId> = ids.filter(|id| listed.binary_search(id).is_err()).collect();
         drop(known);
         for id in missing {
@@ -262,8 +265,8 @@
     /// answered in time.
     pub fn servers_unanswered(&self, asked: ClockTime) {
         let mut age = self.server_age.get();
-        let late_after = self.settings.times.servers.late_after();
-        age.unanswered(asked, late_after, self.clock.boot_now());
+        let poll_timeout = self.settings.times.servers.poll_timeout();
+        age.unanswered(asked, poll_timeout, self.clock.boot_now());
         self.server_age.set(age);
     }
 
@@ -293,12 +296,12 @@
         let awaited = || self.servers_awaited();
         if !wait_while(&self.clock, &self.servers_answered, max_wait, awaited).await {
             let mut age = self.server_age.get();
-            age.waited_in_vain();
+            age.wait_timed_out();
             self.server_age.set(age);
         }
     }
 
-    fn log_server(&self, kind: &str, life: &ServerLife, phase: ServerPhase) {
+    fn log_server(&self, kind: &str, incarnation: &ServerIncarnation, phase: ServerPhase) {
         let phase = match phase {
             ServerPhase::Ready => "ready",
             ServerPhase::Leaving => "leaving",
@@ -306,7 +309,7 @@
             ServerPhase::Unreadable => "unreadable",
         };
         let draft = EventDraft::new(kind)
-            .field("server", life)
+            .field("server", incarnation)
             .field("phase", phase);
         self.log.emit(draft);
     }
@@ -418,7 +421,7 @@
     /// Takes one retry from the budget. Returns false if the budget is used up.
     #[must_use]
     pub fn take_repeat(&self, service: &ServiceId) -> bool {
-        let settings = RepeatSettings {
+        let settings = RetryLimits {
             instances: self
                 .settings
                 .repeats
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::FutureExt;
 use guavawell_core::clock::ClockTime;
-use guavawell_core::forward::EngineFacts;
+use guavawell_core::forward::EngineLimits;
 use guavawell_core::forward::ForwardConfig;
 use guavawell_core::forward::PromptShape;
 use guavawell_core::forward::RouteEntry;
@@ -41,7 +41,7 @@
     /// The service to which it is sent.
     pub service: ServiceId,
     /// The service's engines; `None` for a plain service.
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineLimits>,
     /// The organisation and the priority of its requests.
     pub organisation: Option<(OrganisationId, Option<u8>)>,
     /// The request's token usage.
--- a/crates/guavawell-forward/src/server_status.rs
+++ b/crates/guavawell-forward/src/server_status.rs
@@ -7,8 +7,8 @@
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::forward::ServerEntry;
-use guavawell_core::forward::ServerLife;
-use guavawell_core::forward::read_pause;
+use guavawell_core::forward::ServerIncarnation;
+use guavawell_core::forward::parse_pause;
 use guavawell_fleet::event::EventDraft;
 
 use crate::http::ResponseHead;
@@ -20,7 +20,11 @@
 const LEAVING_VALUE: &str = "1";
 
 /// Applies the report in a response head to the server's entry.
-pub fn apply_server_status(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+pub fn apply_server_status(
+    router: &ForwardRouter,
+    server: &ServerIncarnation,
+    head: &ResponseHead,
+) {
     if head.status == 421 {
         // Another server has taken over the address; the report is not this
         // server's.
@@ -37,11 +41,11 @@
     }
 }
 
-fn apply_leaving(router: &ForwardRouter, server: &ServerLife) {
+fn apply_leaving(router: &ForwardRouter, server: &ServerIncarnation) {
     let mut servers = router.servers.borrow_mut();
     let changed = servers
         .get_mut(server)
-        .is_some_and(ServerEntry::say_leaving);
+        .is_some_and(ServerEntry::record_leaving);
     drop(servers);
     if !changed {
         return;
@@ -56,7 +60,7 @@
 
 /// Applies the Retry-After of a server that rejected a request. The longest of
 /// several values counts.
-fn apply_pause(router: &ForwardRouter, server: &ServerLife, head: &ResponseHead) {
+fn apply_pause(router: &ForwardRouter, server: &ServerIncarnation, head: &ResponseHead) {
     let texts = head.fields.all(RETRY_AFTER);
     let longest = texts
         .map(|text| parse_pause_field(router, server, text))
@@ -79,9 +83,9 @@
     }
 }
 
-fn parse_pause_field(router: &ForwardRouter, server: &ServerLife, text: &[u8]) -> ClockSpan {
+fn parse_pause_field(router: &ForwardRouter, server: &ServerIncarnation, text: &[u8]) -> ClockSpan {
     let text = String::from_utf8_lossy(text);
-    let (pause, error) = read_pause(&text);
+    let (pause, error) = parse_pause(&text);
     if let Some(error) = error {
         let draft = EventDraft::new("server.word_unreadable")
             .field("server", server)
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -8,8 +8,8 @@
 use guavawell_core::forward::CongestionSettings;
 use guavawell_core::forward::ConnectSettings;
 use guavawell_core::forward::LapseSettings;
-use guavawell_core::forward::QuestionPace;
-use guavawell_core::forward::RepeatSettings;
+use guavawell_core::forward::PollTiming;
+use guavawell_core::forward::RetryLimits;
 use guavawell_core::grant::LedgerSettings;
 use guavawell_core::id::InstanceId;
 use guavawell_core::id::ZoneId;
@@ -20,10 +20,10 @@
 /// A server updates its entry about once a second. The pause avoids one call
 /// for each update. A leaving server keeps serving for three seconds, so that
 /// two queries in a row may fail.
-const SERVER_PACE: QuestionPace = QuestionPace {
+const SERVER_PACE: PollTiming = PollTiming {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
-    pause_each: ClockSpan::from_millis(4),
+    pause_per_instance: ClockSpan::from_millis(4),
 };
 
 /// Addresses on which the process listens.
@@ -57,9 +57,9 @@
     /// Longest silence of a stream that another server can continue.
     pub stream_silence: ClockSpan,
     /// How often the configuration is queried.
-    pub config: QuestionPace,
+    pub config: PollTiming,
     /// How often the list of servers is queried.
-    pub servers: QuestionPace,
+    pub servers: PollTiming,
     /// How servers are treated whose entries vanish around a platform outage.
     pub lapse: LapseSettings,
     /// Time from SIGTERM during which all requests are accepted: the load
@@ -80,7 +80,7 @@
             idle_once: ClockSpan::from_millis(900),
             attempt: ClockSpan::from_millis(250),
             stream_silence: ClockSpan::from_millis(1_200),
-            config: QuestionPace::within(ClockSpan::from_millis(2_000)),
+            config: PollTiming::within(ClockSpan::from_millis(2_000)),
             servers: SERVER_PACE,
             lapse: LapseSettings::default(),
             announce: ClockSpan::from_millis(2_900),
@@ -110,7 +110,7 @@
     /// When this instance's network link counts as full.
     pub congestion: CongestionSettings,
     /// The retry budget.
-    pub repeats: RepeatSettings,
+    pub repeats: RetryLimits,
     /// Settings of budgets.
     pub book: LedgerSettings,
     /// Settings for requests that crash servers.
