--- a/crates/guavawell-core/examples/gossip_spread.rs
+++ b/crates/guavawell-core/examples/gossip_spread.rs
@@ -69,11 +69,14 @@
 fn cut_and_heal(size: usize, zones: usize) -> CutTicks {
     let mut pump = MessagePump::converged(size, zones, 1);
     for (index, node) in pump.nodes.iter_mut().enumerate() {
-        node.group = u8::from(index % zones == 0);
+        node.partition = u8::from(index % zones == 0);
     }
-    let alone = |pump: &MessagePump, group: u8| {
-        let members = pump.live().filter(|node| node.group == group).count();
-        let mut group_nodes = pump.live().filter(|node| node.group == group);
+    let alone = |pump: &MessagePump, partition: u8| {
+        let members = pump
+            .live()
+            .filter(|node| node.partition == partition)
+            .count();
+        let mut group_nodes = pump.live().filter(|node| node.partition == partition);
         group_nodes
             .all(|node| routable(node).len() == members && unreachable(node) == size - members)
     };
@@ -97,7 +100,7 @@
         }
     }
     for node in &mut pump.nodes {
-        node.group = 0;
+        node.partition = 0;
     }
     while ticks.healed < CUT_LIMIT && !pump.is_converged() {
         pump.step();
--- a/crates/guavawell-core/src/instance/directory.rs
+++ b/crates/guavawell-core/src/instance/directory.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::owner::FNV_OFFSET;
+use super::owner::fnv1a;
 use super::owner::mix;
-use super::owner::stable_hash;
 use super::record::MemberRecord;
 use super::record::Reachability;
 use super::settings::MembershipSettings;
@@ -21,7 +21,7 @@
 pub(super) struct MemberEntry {
     pub(super) record: Arc<MemberRecord>,
     /// When its reachability last changed here.
-    pub(super) since: ClockTime,
+    pub(super) reachability_changed_at: ClockTime,
     /// Whether the platform's list named it when last read.
     pub(super) listed: bool,
 }
@@ -32,18 +32,18 @@
     hash: u64,
     incarnation: IncarnationId,
     refutation: u32,
-    buried: ClockTime,
+    created_at: ClockTime,
 }
 
 /// What a record changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MergeOutcome {
     /// Nothing.
-    Known,
+    Unchanged,
     /// Only the manifest version in force.
     Manifest,
     /// The member's standing.
-    Standing,
+    Status,
     /// The member was not known.
     Added,
 }
@@ -54,7 +54,7 @@
     entries: Vec<MemberEntry>,
     /// Sorted by hash.
     tombstones: Vec<Tombstone>,
-    list_read: bool,
+    list_received: bool,
 }
 
 impl MemberDirectory {
@@ -64,7 +64,7 @@
     }
 
     /// How many forgotten lives are remembered.
-    pub(super) fn tombstones(&self) -> usize {
+    pub(super) fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
@@ -78,7 +78,7 @@
     pub(super) fn merge(&mut self, record: &MemberRecord, now: ClockTime) -> MergeOutcome {
         let index = match self.position(&record.instance) {
             Ok(index) => index,
-            Err(_) if self.is_buried(record) => return MergeOutcome::Known,
+            Err(_) if self.has_tombstone(record) => return MergeOutcome::Unchanged,
             Err(index) => {
                 self.insert(index, record, now);
                 return MergeOutcome::Added;
@@ -87,25 +87,25 @@
         let entry = &mut self.entries[index];
         if entry.record.is_outdated_by(record) {
             if entry.record.reachability != record.reachability {
-                entry.since = now;
+                entry.reachability_changed_at = now;
             }
             Arc::make_mut(&mut entry.record).merge(record);
-            return MergeOutcome::Standing;
+            return MergeOutcome::Status;
         }
-        let same_life = entry.record.incarnation == record.incarnation;
-        if same_life && record.manifest > entry.record.manifest {
+        let same_incarnation = entry.record.incarnation == record.incarnation;
+        if same_incarnation && record.manifest > entry.record.manifest {
             Arc::make_mut(&mut entry.record).manifest = record.manifest;
             return MergeOutcome::Manifest;
         }
-        MergeOutcome::Known
+        MergeOutcome::Unchanged
     }
 
     /// What speaks against the sender's own record, if anything does.
-    pub(super) fn accusation(&self, sender: &MemberRecord) -> Option<MemberRecord> {
+    pub(super) fn contradicting_record(&self, sender: &MemberRecord) -> Option<MemberRecord> {
         if let Some(entry) = self.find(&sender.instance) {
-            let accused = entry.record.reachability != Reachability::Reachable;
-            let older = entry.record.incarnation > sender.incarnation;
-            return (accused || older).then(|| (*entry.record).clone());
+            let not_reachable = entry.record.reachability != Reachability::Reachable;
+            let outdated = entry.record.incarnation > sender.incarnation;
+            return (not_reachable || outdated).then(|| (*entry.record).clone());
         }
         let tombstone = self.tombstone(sender)?;
         Some(MemberRecord {
@@ -118,7 +118,7 @@
 
     /// Marks which members the platform's list names.
     pub(super) fn mark_listed(&mut self, is_listed: impl Fn(&InstanceId) -> bool) {
-        self.list_read = true;
+        self.list_received = true;
         for entry in &mut self.entries {
             entry.listed = is_listed(&entry.record.instance);
         }
@@ -128,7 +128,7 @@
     pub(super) fn restart_suspicions(&mut self, now: ClockTime) {
         for entry in &mut self.entries {
             if entry.record.reachability == Reachability::Suspected {
-                entry.since = now;
+                entry.reachability_changed_at = now;
             }
         }
     }
@@ -136,10 +136,10 @@
     /// Forgets members that were unreachable for long; true if any went.
     pub(super) fn forget(&mut self, settings: &MembershipSettings, now: ClockTime) -> bool {
         let before = self.entries.len();
-        let mut forgotten = self.overdue(settings, now);
+        let mut forgotten = self.expired(settings, now);
         forgotten.extend(self.surplus(settings, forgotten.len()));
         for instance in forgotten {
-            self.bury(&instance, settings.max_tombstones, now);
+            self.replace_with_tombstone(&instance, settings.max_tombstones, now);
         }
         before != self.entries.len()
     }
@@ -151,7 +151,7 @@
         let members = self.entries.iter().map(|entry| &*entry.record);
         for record in members.chain([own]) {
             if record.reachability != Reachability::Unreachable {
-                buckets[bucket_of(&record.instance)] ^= standing_hash(record);
+                buckets[bucket_of(&record.instance)] ^= status_hash(record);
             }
         }
         buckets
@@ -179,41 +179,47 @@
     fn insert(&mut self, index: usize, record: &MemberRecord, now: ClockTime) {
         let entry = MemberEntry {
             record: Arc::new(record.clone()),
-            since: now,
+            reachability_changed_at: now,
             listed: false,
         };
         self.entries.insert(index, entry);
     }
 
-    fn overdue(&self, settings: &MembershipSettings, now: ClockTime) -> Vec<InstanceId> {
-        let gone = |entry: &&MemberEntry| {
-            let unnamed = self.list_read && !entry.listed;
-            let span = if unnamed {
-                settings.forget_span
+    fn expired(&self, settings: &MembershipSettings, now: ClockTime) -> Vec<InstanceId> {
+        let is_expired = |entry: &&MemberEntry| {
+            let delisted = self.list_received && !entry.listed;
+            let span = if delisted {
+                settings.forget_delisted_span
             } else {
-                settings.forget_unlisted_span
+                settings.forget_listed_span
             };
-            entry.record.reachability == Reachability::Unreachable && now.since(entry.since) >= span
+            entry.record.reachability == Reachability::Unreachable
+                && now.since(entry.reachability_changed_at) >= span
         };
-        let overdue = self.entries.iter().filter(gone);
-        overdue.map(|entry| entry.record.instance.clone()).collect()
+        let expired = self.entries.iter().filter(is_expired);
+        expired.map(|entry| entry.record.instance.clone()).collect()
     }
 
-    fn surplus(&self, settings: &MembershipSettings, leaving: usize) -> Vec<InstanceId> {
+    fn surplus(&self, settings: &MembershipSettings, already_forgotten: usize) -> Vec<InstanceId> {
         let unreachable =
             |entry: &&MemberEntry| entry.record.reachability == Reachability::Unreachable;
         let mut kept: Vec<_> = self.entries.iter().filter(unreachable).collect();
-        let limit = settings.max_unreachable + leaving;
+        let limit = settings.max_unreachable + already_forgotten;
         if kept.len() <= limit {
             return Vec::new();
         }
-        kept.sort_by_key(|entry| entry.since);
+        kept.sort_by_key(|entry| entry.reachability_changed_at);
         let surplus = kept.len() - limit;
         let oldest = kept.into_iter().take(surplus);
         oldest.map(|entry| entry.record.instance.clone()).collect()
     }
 
-    fn bury(&mut self, instance: &InstanceId, max_tombstones: usize, now: ClockTime) {
+    fn replace_with_tombstone(
+        &mut self,
+        instance: &InstanceId,
+        max_tombstones: usize,
+        now: ClockTime,
+    ) {
         let Ok(index) = self.position(instance) else {
             return;
         };
@@ -222,7 +228,7 @@
             hash: instance_hash(instance),
             incarnation: entry.record.incarnation,
             refutation: entry.record.refutation,
-            buried: now,
+            created_at: now,
         };
         self.tombstones.retain(|old| old.hash != tombstone.hash);
         let index = self
@@ -236,12 +242,12 @@
 
     fn drop_oldest_tombstone(&mut self) {
         let ages = self.tombstones.iter().enumerate();
-        if let Some((index, _)) = ages.min_by_key(|(_, tombstone)| tombstone.buried) {
+        if let Some((index, _)) = ages.min_by_key(|(_, tombstone)| tombstone.created_at) {
             self.tombstones.remove(index);
         }
     }
 
-    fn is_buried(&self, record: &MemberRecord) -> bool {
+    fn has_tombstone(&self, record: &MemberRecord) -> bool {
         self.tombstone(record).is_some()
     }
 
@@ -253,13 +259,13 @@
             .binary_search_by_key(&hash, |tombstone| tombstone.hash)
             .ok()?;
         let tombstone = self.tombstones[index];
-        let life = (record.incarnation, record.refutation);
-        (life <= (tombstone.incarnation, tombstone.refutation)).then_some(tombstone)
+        let version = (record.incarnation, record.refutation);
+        (version <= (tombstone.incarnation, tombstone.refutation)).then_some(tombstone)
     }
 }
 
 fn instance_hash(instance: &InstanceId) -> u64 {
-    mix(stable_hash(FNV_OFFSET, instance.as_str().as_bytes()))
+    mix(fnv1a(FNV_OFFSET, instance.as_str().as_bytes()))
 }
 
 #[allow(clippy::cast_possible_truncation)] // the remainder is below BUCKETS
@@ -268,10 +274,10 @@
 }
 
 #[allow(clippy::cast_possible_truncation)] // the lower half of a mixed hash serves as well
-fn standing_hash(record: &MemberRecord) -> u32 {
+fn status_hash(record: &MemberRecord) -> u32 {
     let seed = instance_hash(&record.instance);
-    let life = stable_hash(seed, &record.incarnation.get().to_be_bytes());
-    let standing = stable_hash(life, &record.refutation.to_be_bytes());
+    let incarnation = fnv1a(seed, &record.incarnation.get().to_be_bytes());
+    let refutation = fnv1a(incarnation, &record.refutation.to_be_bytes());
     let flags = [record.reachability as u8, u8::from(record.leaving)];
-    mix(stable_hash(standing, &flags)) as u32
+    mix(fnv1a(refutation, &flags)) as u32
 }
--- a/crates/guavawell-core/src/instance/membership/mod.rs
+++ b/crates/guavawell-core/src/instance/membership/mod.rs
@@ -18,7 +18,7 @@
 use super::note::GossipNote;
 use super::note::NoteError;
 use super::note::NoteStore;
-use super::probe::ProbeBook;
+use super::probe::ProbeTracker;
 use super::queue::QueuedRumour;
 use super::queue::RumourClass;
 use super::queue::RumourQueue;
@@ -94,15 +94,15 @@
 }
 
 /// Times that a change learned from a comparison is still passed on.
-const SENDS_AFTER_COMPARISON: u32 = 2;
+const SENDS_AFTER_SYNC: u32 = 2;
 
 /// How a piece of news came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NewsOrigin {
+enum RumourOrigin {
     /// It was passed on, or noticed here.
-    Rumour,
+    Gossip,
     /// It came on a page of a comparison.
-    Comparison,
+    Sync,
 }
 
 /// When each periodic task is due.
@@ -123,7 +123,7 @@
     directory: MemberDirectory,
     notes: NoteStore,
     queue: RumourQueue,
-    probes: ProbeBook,
+    probes: ProbeTracker,
     allowance: SendAllowance,
     random: fastrand::Rng,
     candidates: Vec<ListedInstance>,
@@ -134,7 +134,7 @@
     /// The newest version that was passed on.
     newest_manifest: ManifestVersion,
     /// The last probe into another zone was left unanswered.
-    zones_doubtful: bool,
+    cross_zone_unanswered: bool,
     superseded: bool,
     counts: GossipCounts,
     revision: u64,
@@ -165,7 +165,7 @@
             directory: MemberDirectory::default(),
             notes: NoteStore::default(),
             queue: RumourQueue::default(),
-            probes: ProbeBook::default(),
+            probes: ProbeTracker::default(),
             allowance,
             random: fastrand::Rng::with_seed(seed),
             candidates: Vec::new(),
@@ -179,19 +179,19 @@
                 last_tick: now,
             },
             newest_manifest: ManifestVersion::default(),
-            zones_doubtful: false,
+            cross_zone_unanswered: false,
             superseded: false,
             counts: GossipCounts::default(),
             revision: 1,
             effects: Vec::new(),
         };
-        membership.spread_first_tasks(now);
+        membership.stagger_first_tasks(now);
         membership.queue_own();
         membership
     }
 
     /// Sets fixed gossip addresses, tried while no member is known there.
-    pub fn seed(&mut self, addresses: &[SocketAddr]) {
+    pub fn set_seeds(&mut self, addresses: &[SocketAddr]) {
         let own = self.own.gossip_address;
         let others = addresses.iter().filter(|address| **address != own);
         self.seeds = others.copied().collect();
@@ -201,7 +201,7 @@
     ///
     /// An entry that is absent removes nobody; it only lets a member that is
     /// unreachable for long be forgotten.
-    pub fn list(&mut self, listed: &[ListedInstance]) {
+    pub fn set_listed(&mut self, listed: &[ListedInstance]) {
         let mut names: Vec<_> = listed.iter().map(|entry| &entry.instance).collect();
         names.sort_unstable();
         self.directory
@@ -219,7 +219,7 @@
             self.own.leaving = true;
             self.revision += 1;
             self.queue_own();
-            self.spread_leaving(now);
+            self.send_leave_announcement(now);
         }
         std::mem::take(&mut self.effects)
     }
@@ -239,8 +239,10 @@
     ///
     /// Returns an error if the note is too large, of another zone, or one too many.
     pub fn publish(&mut self, note: &GossipNote, now: ClockTime) -> Result<(), NoteError> {
-        let news = self.notes.take(note, &self.own.zone, &self.settings, now)?;
-        if news {
+        let is_new = self
+            .notes
+            .apply(note, &self.own.zone, &self.settings, now)?;
+        if is_new {
             self.revision += 1;
             self.queue_note(note);
         }
@@ -266,35 +268,35 @@
     pub fn counts(&self) -> GossipCounts {
         GossipCounts {
             queued: self.queue.len(),
-            tombstones: self.directory.tombstones(),
+            tombstones: self.directory.tombstone_count(),
             ..self.counts
         }
     }
 
     /// Known members with this instance.
-    fn size(&self) -> usize {
+    fn fleet_size(&self) -> usize {
         self.directory.entries().len() + 1
     }
 
     /// Takes a record in and passes it on if it is news.
-    fn merge(&mut self, record: &MemberRecord, origin: NewsOrigin, now: ClockTime) {
+    fn merge(&mut self, record: &MemberRecord, origin: RumourOrigin, now: ClockTime) {
         if record.instance == self.own.instance {
             self.merge_own(record);
             return;
         }
         match self.directory.merge(record, now) {
-            MergeOutcome::Known => {}
+            MergeOutcome::Unchanged => {}
             MergeOutcome::Manifest => {
                 self.revision += 1;
                 self.queue_manifest(record.instance.clone(), record.manifest);
             }
             // Whoever is new in the fleet learns all members by comparison;
             // passing them on would only repeat what the others know.
-            MergeOutcome::Added if origin == NewsOrigin::Comparison => {
-                self.report_change(&record.instance);
+            MergeOutcome::Added if origin == RumourOrigin::Sync => {
+                self.emit_change(&record.instance);
             }
-            MergeOutcome::Standing | MergeOutcome::Added => {
-                self.note_change(&record.instance, origin);
+            MergeOutcome::Status | MergeOutcome::Added => {
+                self.queue_change(&record.instance, origin);
             }
         }
     }
@@ -307,9 +309,9 @@
             self.effects.push(MemberEffect::Superseded { by });
             return;
         }
-        let same_life = record.incarnation == self.own.incarnation;
-        let accused = record.reachability != Reachability::Reachable;
-        if same_life && accused && record.refutation >= self.own.refutation {
+        let same_incarnation = record.incarnation == self.own.incarnation;
+        let not_reachable = record.reachability != Reachability::Reachable;
+        if same_incarnation && not_reachable && record.refutation >= self.own.refutation {
             self.own.refutation = record.refutation.saturating_add(1);
             self.counts.refutations += 1;
             self.revision += 1;
@@ -318,21 +320,21 @@
     }
 
     /// Records that a member's standing changed, and passes it on.
-    fn note_change(&mut self, instance: &InstanceId, origin: NewsOrigin) {
-        let Some(record) = self.report_change(instance) else {
+    fn queue_change(&mut self, instance: &InstanceId, origin: RumourOrigin) {
+        let Some(record) = self.emit_change(instance) else {
             return;
         };
         let sends = match origin {
-            NewsOrigin::Rumour => 0,
-            NewsOrigin::Comparison => {
-                let limit = self.settings.member_sends_at(self.size());
-                limit.saturating_sub(SENDS_AFTER_COMPARISON)
+            RumourOrigin::Gossip => 0,
+            RumourOrigin::Sync => {
+                let limit = self.settings.member_sends_at(self.fleet_size());
+                limit.saturating_sub(SENDS_AFTER_SYNC)
             }
         };
         self.queue_member(&record, sends);
     }
 
-    fn report_change(&mut self, instance: &InstanceId) -> Option<Arc<MemberRecord>> {
+    fn emit_change(&mut self, instance: &InstanceId) -> Option<Arc<MemberRecord>> {
         let record = Arc::clone(&self.directory.find(instance)?.record);
         self.revision += 1;
         self.effects.push(MemberEffect::Changed {
--- a/crates/guavawell-core/src/instance/membership/receive.rs
+++ b/crates/guavawell-core/src/instance/membership/receive.rs
@@ -4,12 +4,12 @@
 
 use super::MemberEffect;
 use super::Membership;
-use super::NewsOrigin;
+use super::RumourOrigin;
 use super::send::SendTarget;
 use crate::clock::ClockTime;
 use crate::id::IncarnationId;
 use crate::id::InstanceId;
-use crate::instance::allowance::SendUrgency;
+use crate::instance::allowance::SendPriority;
 use crate::instance::message::GossipMessage;
 use crate::instance::message::GossipRumour;
 use crate::instance::message::MessageBody;
@@ -26,38 +26,38 @@
         now: ClockTime,
     ) -> Vec<MemberEffect> {
         let sender = &message.sender;
-        let own_echo =
+        let is_own_message =
             sender.instance == self.own.instance && sender.incarnation == self.own.incarnation;
-        if self.superseded || own_echo {
+        if self.superseded || is_own_message {
             return Vec::new();
         }
-        self.merge(sender, NewsOrigin::Rumour, now);
-        self.take_rumours(message, now);
+        self.merge(sender, RumourOrigin::Gossip, now);
+        self.apply_rumours(message, now);
         if !self.superseded {
             let target = SendTarget {
                 address: from,
                 zone: Some(sender.zone.clone()),
             };
-            self.answer(&target, &message.body, now);
-            self.accuse(&target, sender, now);
+            self.handle_body(&target, &message.body, now);
+            self.send_contradicting_record(&target, sender, now);
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn take_rumours(&mut self, message: &GossipMessage, now: ClockTime) {
+    fn apply_rumours(&mut self, message: &GossipMessage, now: ClockTime) {
         let from_sync = matches!(
             message.body,
             MessageBody::Page | MessageBody::Difference { .. }
         );
         let origin = if from_sync {
-            NewsOrigin::Comparison
+            RumourOrigin::Sync
         } else {
-            NewsOrigin::Rumour
+            RumourOrigin::Gossip
         };
         for rumour in &message.rumours {
             match rumour {
                 GossipRumour::Member(record) => self.merge(record, origin, now),
-                GossipRumour::Note(note) => self.take_note(note, now),
+                GossipRumour::Note(note) => self.apply_note(note, now),
                 GossipRumour::Manifest {
                     instance,
                     incarnation,
@@ -78,31 +78,31 @@
         }
     }
 
-    fn take_note(&mut self, note: &GossipNote, now: ClockTime) {
+    fn apply_note(&mut self, note: &GossipNote, now: ClockTime) {
         if self.publish(note, now).is_err() {
             self.counts.notes_refused += 1;
         }
     }
 
-    fn answer(&mut self, target: &SendTarget, body: &MessageBody, now: ClockTime) {
+    fn handle_body(&mut self, target: &SendTarget, body: &MessageBody, now: ClockTime) {
         match body {
             MessageBody::News | MessageBody::Page => {}
             MessageBody::Ping {
                 probe,
                 target: asked,
-            } => self.answer_ping(target, *probe, asked, now),
+            } => self.handle_ping(target, *probe, asked, now),
             MessageBody::Ack {
                 probe,
                 target: answered,
                 incarnation,
-            } => self.take_ack(*probe, answered, *incarnation, now),
+            } => self.handle_ack(*probe, answered, *incarnation, now),
             MessageBody::PingRequest {
                 probe,
                 target: asked,
                 address,
             } => self.relay_ping(target.address, *probe, asked, *address, now),
             MessageBody::Digest { buckets, notes } => {
-                self.answer_digest(target, buckets, *notes, now);
+                self.handle_digest(target, buckets, *notes, now);
             }
             MessageBody::Difference {
                 buckets,
@@ -117,7 +117,7 @@
         }
     }
 
-    fn answer_ping(&mut self, target: &SendTarget, probe: u64, asked: &InstanceId, now: ClockTime) {
+    fn handle_ping(&mut self, target: &SendTarget, probe: u64, asked: &InstanceId, now: ClockTime) {
         if *asked != self.own.instance {
             return;
         }
@@ -126,17 +126,17 @@
             target: self.own.instance.clone(),
             incarnation: self.own.incarnation,
         };
-        self.send(target, body, Vec::new(), SendUrgency::Urgent, now);
+        self.send(target, body, Vec::new(), SendPriority::Urgent, now);
     }
 
-    fn take_ack(
+    fn handle_ack(
         &mut self,
         probe: u64,
         answered: &InstanceId,
         incarnation: IncarnationId,
         now: ClockTime,
     ) {
-        let Some(probe) = self.probes.close(probe, answered, incarnation) else {
+        let Some(probe) = self.probes.complete(probe, answered, incarnation) else {
             return;
         };
         let ProbeOrigin::Relayed {
@@ -144,7 +144,7 @@
             probe: number,
         } = probe.origin
         else {
-            self.trust_zone_of(&probe.target);
+            self.record_cross_zone_answer(&probe.target);
             return;
         };
         let body = MessageBody::Ack {
@@ -153,14 +153,14 @@
             incarnation,
         };
         let target = SendTarget::at(requester);
-        self.send(&target, body, Vec::new(), SendUrgency::Urgent, now);
+        self.send(&target, body, Vec::new(), SendPriority::Urgent, now);
     }
 
     /// An answer from another zone ends the doubt about other zones.
-    fn trust_zone_of(&mut self, answered: &InstanceId) {
+    fn record_cross_zone_answer(&mut self, answered: &InstanceId) {
         let entry = self.directory.find(answered);
         if entry.is_some_and(|entry| entry.record.zone != self.own.zone) {
-            self.zones_doubtful = false;
+            self.cross_zone_unanswered = false;
         }
     }
 
@@ -176,20 +176,27 @@
         let incarnation =
             known.map_or_else(IncarnationId::default, |entry| entry.record.incarnation);
         let origin = ProbeOrigin::Relayed { requester, probe };
-        let number = self.probes.open(asked.clone(), incarnation, origin, now);
+        let number = self
+            .probes
+            .register(asked.clone(), incarnation, origin, now);
         let body = MessageBody::Ping {
             probe: number,
             target: asked.clone(),
         };
         let target = SendTarget::at(address);
-        self.send(&target, body, Vec::new(), SendUrgency::Urgent, now);
+        self.send(&target, body, Vec::new(), SendPriority::Urgent, now);
     }
 
     /// Tells the sender what speaks against it, so that it can refute it.
-    fn accuse(&mut self, target: &SendTarget, sender: &MemberRecord, now: ClockTime) {
-        if let Some(accusation) = self.directory.accusation(sender) {
-            let first = vec![GossipRumour::Member(accusation)];
-            self.send(target, MessageBody::News, first, SendUrgency::Urgent, now);
+    fn send_contradicting_record(
+        &mut self,
+        target: &SendTarget,
+        sender: &MemberRecord,
+        now: ClockTime,
+    ) {
+        if let Some(contradiction) = self.directory.contradicting_record(sender) {
+            let first = vec![GossipRumour::Member(contradiction)];
+            self.send(target, MessageBody::News, first, SendPriority::Urgent, now);
         }
     }
 }
--- a/crates/guavawell-core/src/instance/membership/send.rs
+++ b/crates/guavawell-core/src/instance/membership/send.rs
@@ -6,7 +6,7 @@
 use super::Membership;
 use crate::clock::ClockTime;
 use crate::id::ZoneId;
-use crate::instance::allowance::SendUrgency;
+use crate::instance::allowance::SendPriority;
 use crate::instance::directory::MemberEntry;
 use crate::instance::message::GossipMessage;
 use crate::instance::message::GossipRumour;
@@ -16,11 +16,11 @@
 use crate::instance::queue::RumourTopic;
 use crate::instance::record::MemberRecord;
 use crate::instance::record::Reachability;
-use crate::instance::settings::DATAGRAM_OVERHEAD;
+use crate::instance::settings::DATAGRAM_OVERHEAD_BYTES;
 use crate::instance::settings::MAX_MESSAGE_BYTES;
 
 /// Bytes that the count of rumours may take beyond that of an empty list.
-const COUNT_BYTES: usize = 1;
+const RUMOUR_COUNT_EXTRA_BYTES: usize = 1;
 
 /// A receiver as far as packing a message for it goes.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
         target: &SendTarget,
         body: MessageBody,
         first: Vec<GossipRumour>,
-        urgency: SendUrgency,
+        priority: SendPriority,
         now: ClockTime,
     ) -> bool {
         let mut message = GossipMessage {
@@ -62,13 +62,13 @@
             rumours: first,
         };
         let base = message.encoded_len();
-        let available = self.allowance.available(urgency, now);
-        if base + DATAGRAM_OVERHEAD > available {
+        let available = self.allowance.available(priority, now);
+        if base + DATAGRAM_OVERHEAD_BYTES > available {
             self.counts.withheld += 1;
             return false;
         }
-        let limit = MAX_MESSAGE_BYTES.min(available - DATAGRAM_OVERHEAD);
-        let room = limit.saturating_sub(base + COUNT_BYTES);
+        let limit = MAX_MESSAGE_BYTES.min(available - DATAGRAM_OVERHEAD_BYTES);
+        let room = limit.saturating_sub(base + RUMOUR_COUNT_EXTRA_BYTES);
         self.pack(&mut message, target, room);
         self.emit(target.address, message, limit);
         true
@@ -80,7 +80,7 @@
         while bytes > limit && message.rumours.pop().is_some() {
             bytes = message.encoded_len();
         }
-        let bytes = bytes + DATAGRAM_OVERHEAD;
+        let bytes = bytes + DATAGRAM_OVERHEAD_BYTES;
         self.allowance.take(bytes);
         self.counts.bytes_sent += u64::try_from(bytes).unwrap_or(u64::MAX);
         let message = Box::new(message);
@@ -91,8 +91,8 @@
     /// beside gossip; false if the allowance is needed for membership.
     #[must_use]
     pub fn charge_report(&mut self, payload: usize, now: ClockTime) -> bool {
-        let bytes = payload + DATAGRAM_OVERHEAD;
-        let allowed = bytes <= self.allowance.available(SendUrgency::Report, now);
+        let bytes = payload + DATAGRAM_OVERHEAD_BYTES;
+        let allowed = bytes <= self.allowance.available(SendPriority::Report, now);
         if !allowed {
             self.counts.reports_withheld += 1;
             return false;
@@ -103,10 +103,10 @@
     }
 
     fn pack(&mut self, message: &mut GossipMessage, target: &SendTarget, room: usize) {
-        let member_sends = self.settings.member_sends_at(self.size());
-        let leave_sends = self.settings.leave_sends_at(self.size());
+        let member_sends = self.settings.member_sends_at(self.fleet_size());
+        let leave_sends = self.settings.leave_sends_at(self.fleet_size());
         let note_sends = self.settings.note_sends;
-        let manifest_sends = self.settings.manifest_sends_at(self.size());
+        let manifest_sends = self.settings.manifest_sends_at(self.fleet_size());
         let limit = |class| match class {
             RumourClass::Leaving => leave_sends,
             RumourClass::Member => member_sends,
@@ -157,18 +157,18 @@
     /// At most `count` different members to gossip with, mostly of this zone.
     pub(super) fn pick_targets(&mut self, count: usize) -> Vec<SendTarget> {
         let zone = &self.own.zone;
-        let talkative =
+        let is_eligible =
             |entry: &&MemberEntry| entry.record.reachability != Reachability::Unreachable;
-        let entries = self.directory.entries().iter().filter(talkative);
-        let (mut near, mut far): (Vec<_>, Vec<_>) =
+        let entries = self.directory.entries().iter().filter(is_eligible);
+        let (mut in_zone, mut cross_zone): (Vec<_>, Vec<_>) =
             entries.partition(|entry| entry.record.zone == *zone);
         let mut targets = Vec::new();
-        while targets.len() < count && !(near.is_empty() && far.is_empty()) {
-            let cross = self.random.u8(0..100) < self.settings.cross_zone_percent;
-            let pool = if (cross && !far.is_empty()) || near.is_empty() {
-                &mut far
+        while targets.len() < count && !(in_zone.is_empty() && cross_zone.is_empty()) {
+            let is_cross_zone = self.random.u8(0..100) < self.settings.cross_zone_percent;
+            let pool = if (is_cross_zone && !cross_zone.is_empty()) || in_zone.is_empty() {
+                &mut cross_zone
             } else {
-                &mut near
+                &mut in_zone
             };
             let index = self.random.usize(0..pool.len());
             targets.push(SendTarget::of(&pool.swap_remove(index).record));
@@ -177,13 +177,13 @@
     }
 
     /// Tells many at once that this instance leaves.
-    pub(super) fn spread_leaving(&mut self, now: ClockTime) {
+    pub(super) fn send_leave_announcement(&mut self, now: ClockTime) {
         for target in self.pick_targets(self.settings.leave_fanout) {
             self.send(
                 &target,
                 MessageBody::News,
                 Vec::new(),
-                SendUrgency::Urgent,
+                SendPriority::Urgent,
                 now,
             );
         }
--- a/crates/guavawell-core/src/instance/membership/sync.rs
+++ b/crates/guavawell-core/src/instance/membership/sync.rs
@@ -5,21 +5,21 @@
 use super::Membership;
 use super::send::SendTarget;
 use crate::clock::ClockTime;
-use crate::instance::allowance::SendUrgency;
+use crate::instance::allowance::SendPriority;
 use crate::instance::directory::BUCKETS;
 use crate::instance::message::GossipMessage;
 use crate::instance::message::GossipRumour;
 use crate::instance::message::MessageBody;
 use crate::instance::owner::FNV_OFFSET;
-use crate::instance::owner::stable_hash;
+use crate::instance::owner::fnv1a;
 use crate::instance::record::Reachability;
 use crate::instance::settings::MAX_MESSAGE_BYTES;
 
 /// Candidates tried at once while no member is reachable.
-const FIRST_CONTACTS: usize = 3;
+const ISOLATED_RECONNECT_TARGETS: usize = 3;
 
 /// Bytes of a message's page left free for its count and body.
-const PAGE_SLACK: usize = 2 * BUCKETS;
+const PAGE_RESERVED_BYTES: usize = 2 * BUCKETS;
 
 impl Membership {
     /// Compares the state with a random member, or goes on where a difference was left.
@@ -42,19 +42,23 @@
 
     /// Tries an unreachable member or a listed stranger; more of them while alone.
     pub(super) fn reconnect(&mut self, now: ClockTime) {
-        let mut addresses = self.unconnected();
+        let mut addresses = self.reconnect_addresses();
         let entries = self.directory.entries().iter();
-        let alone = !entries
+        let isolated = !entries
             .into_iter()
             .any(|entry| entry.record.reachability != Reachability::Unreachable);
-        let count = if alone { FIRST_CONTACTS } else { 1 };
+        let count = if isolated {
+            ISOLATED_RECONNECT_TARGETS
+        } else {
+            1
+        };
         self.random.shuffle(&mut addresses);
         for address in addresses.into_iter().take(count) {
             self.send_digest(&SendTarget::at(address), now);
         }
     }
 
-    fn unconnected(&self) -> Vec<SocketAddr> {
+    fn reconnect_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.directory.entries().iter();
         let unreachable = entries.filter(|entry| {
             entry.record.reachability == Reachability::Unreachable && !entry.record.leaving
@@ -62,13 +66,13 @@
         let mut addresses: Vec<_> = unreachable
             .map(|entry| entry.record.gossip_address)
             .collect();
-        let strangers = self
+        let unknown = self
             .candidates
             .iter()
             .filter(|candidate| self.directory.find(&candidate.instance).is_none());
-        let listed = strangers.map(|candidate| candidate.gossip_address);
-        let hopeful = listed.chain(self.seeds.iter().copied());
-        addresses.extend(hopeful.filter(|address| !self.directory.is_in_use(*address)));
+        let listed = unknown.map(|candidate| candidate.gossip_address);
+        let contactable = listed.chain(self.seeds.iter().copied());
+        addresses.extend(contactable.filter(|address| !self.directory.is_in_use(*address)));
         addresses.sort_unstable();
         addresses.dedup();
         addresses
@@ -79,11 +83,11 @@
             buckets: self.directory.digest(&self.own),
             notes: self.notes_hash(),
         };
-        self.send(target, body, Vec::new(), SendUrgency::Comparison, now);
+        self.send(target, body, Vec::new(), SendPriority::Sync, now);
     }
 
     /// Answers with this side of as many differing buckets as the pages hold.
-    pub(super) fn answer_digest(
+    pub(super) fn handle_digest(
         &mut self,
         target: &SendTarget,
         buckets: &[u32],
@@ -93,20 +97,20 @@
         if buckets.len() != BUCKETS {
             return;
         }
-        let differing = self.differing(buckets);
+        let differing_buckets = self.differing_buckets(buckets);
         let notes_differ = notes != self.notes_hash();
-        if differing.is_empty() && !notes_differ {
+        if differing_buckets.is_empty() && !notes_differ {
             return;
         }
-        let covered = self.covered(&differing);
-        let more = covered.len() < differing.len();
+        let answered_buckets = self.answered_buckets(&differing_buckets);
+        let more = answered_buckets.len() < differing_buckets.len();
         let body = MessageBody::Difference {
-            buckets: covered.clone(),
+            buckets: answered_buckets.clone(),
             notes: notes_differ,
             more,
         };
-        if self.send(target, body, Vec::new(), SendUrgency::Comparison, now) {
-            self.send_pages(target, &covered, notes_differ, now);
+        if self.send(target, body, Vec::new(), SendPriority::Sync, now) {
+            self.send_pages(target, &answered_buckets, notes_differ, now);
         }
     }
 
@@ -124,18 +128,12 @@
             rumours.extend(records.cloned().map(GossipRumour::Member));
         }
         if notes {
-            let notes = self.notes.of_fleet();
+            let notes = self.notes.fleet_notes();
             rumours.extend(notes.map(|note| GossipRumour::Note((**note).clone())));
         }
         let pages = self.paginate(rumours);
         for page in pages.into_iter().take(self.settings.sync_pages) {
-            self.send(
-                target,
-                MessageBody::Page,
-                page,
-                SendUrgency::Comparison,
-                now,
-            );
+            self.send(target, MessageBody::Page, page, SendPriority::Sync, now);
         }
     }
 
@@ -165,44 +163,44 @@
             body: MessageBody::Page,
             rumours: Vec::new(),
         };
-        MAX_MESSAGE_BYTES.saturating_sub(empty.encoded_len() + PAGE_SLACK)
+        MAX_MESSAGE_BYTES.saturating_sub(empty.encoded_len() + PAGE_RESERVED_BYTES)
     }
 
     /// Buckets that differ, starting at a random one so that none is starved.
-    fn differing(&mut self, theirs: &[u32]) -> Vec<u8> {
-        let ours = self.directory.digest(&self.own);
+    fn differing_buckets(&mut self, remote: &[u32]) -> Vec<u8> {
+        let local = self.directory.digest(&self.own);
         let start = self.random.usize(0..BUCKETS);
         let order = (0..BUCKETS).map(|step| (start + step) % BUCKETS);
-        let differing = order.filter(|bucket| ours[*bucket] != theirs[*bucket]);
-        differing
+        let differing_buckets = order.filter(|bucket| local[*bucket] != remote[*bucket]);
+        differing_buckets
             .filter_map(|bucket| u8::try_from(bucket).ok())
             .collect()
     }
 
-    /// The first of `differing` whose records fit the pages; at least one.
-    fn covered(&self, differing: &[u8]) -> Vec<u8> {
+    /// The first of `differing_buckets` whose records fit the pages; at least one.
+    fn answered_buckets(&self, differing_buckets: &[u8]) -> Vec<u8> {
         let mut room = self.page_room() * self.settings.sync_pages;
-        let mut covered = Vec::new();
-        for bucket in differing {
+        let mut answered_buckets = Vec::new();
+        for bucket in differing_buckets {
             let records = self.directory.bucket(usize::from(*bucket));
             let bytes: usize = records
                 .map(|record| GossipRumour::Member(record.clone()).encoded_len())
                 .sum();
-            if bytes > room && !covered.is_empty() {
+            if bytes > room && !answered_buckets.is_empty() {
                 break;
             }
             room = room.saturating_sub(bytes);
-            covered.push(*bucket);
+            answered_buckets.push(*bucket);
         }
-        covered
+        answered_buckets
     }
 
     #[allow(clippy::cast_possible_truncation)] // half of the hash serves as well
     fn notes_hash(&self) -> u32 {
-        let notes = self.notes.of_fleet();
+        let notes = self.notes.fleet_notes();
         notes.fold(0, |hash, note| {
-            let key = stable_hash(FNV_OFFSET, note.key.as_bytes());
-            hash ^ stable_hash(key, &note.version.to_be_bytes()) as u32
+            let key = fnv1a(FNV_OFFSET, note.key.as_bytes());
+            hash ^ fnv1a(key, &note.version.to_be_bytes()) as u32
         })
     }
 }
--- a/crates/guavawell-core/src/instance/membership/tick.rs
+++ b/crates/guavawell-core/src/instance/membership/tick.rs
@@ -4,12 +4,12 @@
 
 use super::MemberEffect;
 use super::Membership;
-use super::NewsOrigin;
+use super::RumourOrigin;
 use super::send::SendTarget;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::id::InstanceId;
-use crate::instance::allowance::SendUrgency;
+use crate::instance::allowance::SendPriority;
 use crate::instance::message::GossipRumour;
 use crate::instance::message::MessageBody;
 use crate::instance::probe::PendingProbe;
@@ -21,7 +21,7 @@
     /// Does what is due; call it every 100 ms or so.
     pub fn tick(&mut self, now: ClockTime) -> Vec<MemberEffect> {
         if !self.superseded {
-            self.notice_pause(now);
+            self.detect_pause(now);
             self.check_probes(now);
             self.check_suspicions(now);
             self.run_due_tasks(now);
@@ -31,18 +31,18 @@
     }
 
     /// Spreads the first run of each task over its interval.
-    pub(super) fn spread_first_tasks(&mut self, now: ClockTime) {
-        self.times.probe = now + self.part_of(self.settings.probe_interval);
-        self.times.gossip = now + self.part_of(self.settings.gossip_interval);
-        self.times.sync = now + self.part_of(self.settings.sync_interval);
+    pub(super) fn stagger_first_tasks(&mut self, now: ClockTime) {
+        self.times.probe = now + self.random_part_of(self.settings.probe_interval);
+        self.times.gossip = now + self.random_part_of(self.settings.gossip_interval);
+        self.times.sync = now + self.random_part_of(self.settings.sync_interval);
     }
 
-    fn part_of(&mut self, span: ClockSpan) -> ClockSpan {
+    fn random_part_of(&mut self, span: ClockSpan) -> ClockSpan {
         ClockSpan::from_millis(self.random.u64(0..=span.as_millis()))
     }
 
     /// After a pause of this process, its own silence explains missing answers.
-    fn notice_pause(&mut self, now: ClockTime) {
+    fn detect_pause(&mut self, now: ClockTime) {
         if now.since(self.times.last_tick) >= self.settings.pause_span {
             self.counts.pauses += 1;
             self.probes.clear();
@@ -76,64 +76,65 @@
                 return;
             }
             // A leaving mark must be everywhere within 3 s, also in a flood.
-            let urgency = if self.queue.has_leaving_mark() {
-                SendUrgency::Comparison
+            let priority = if self.queue.has_leave_announcement() {
+                SendPriority::Sync
             } else {
-                SendUrgency::Gossip
+                SendPriority::Gossip
             };
-            self.send(&target, MessageBody::News, Vec::new(), urgency, now);
+            self.send(&target, MessageBody::News, Vec::new(), priority, now);
         }
     }
 
     fn probe_next(&mut self, now: ClockTime) {
-        let Some(record) = self.next_probed() else {
+        let Some(record) = self.next_probe_target() else {
             return;
         };
         let origin = ProbeOrigin::Own { indirect: false };
         let instance = record.instance.clone();
         let number = self
             .probes
-            .open(instance.clone(), record.incarnation, origin, now);
+            .register(instance.clone(), record.incarnation, origin, now);
         let body = MessageBody::Ping {
             probe: number,
             target: instance.clone(),
         };
         let suspected = record.reachability == Reachability::Suspected;
-        let accusation = suspected.then(|| GossipRumour::Member((*record).clone()));
-        let first = accusation.into_iter().collect();
+        let suspicion = suspected.then(|| GossipRumour::Member((*record).clone()));
+        let first = suspicion.into_iter().collect();
         let target = SendTarget::of(&record);
-        if !self.send(&target, body, first, SendUrgency::Urgent, now) {
-            self.probes.close(number, &instance, record.incarnation);
+        if !self.send(&target, body, first, SendPriority::Urgent, now) {
+            self.probes.complete(number, &instance, record.incarnation);
         }
     }
 
-    fn next_probed(&mut self) -> Option<Arc<MemberRecord>> {
-        let percent = if self.zones_doubtful {
-            self.settings.doubtful_zone_percent
+    fn next_probe_target(&mut self) -> Option<Arc<MemberRecord>> {
+        let percent = if self.cross_zone_unanswered {
+            self.settings.degraded_cross_zone_percent
         } else {
             self.settings.cross_zone_percent
         };
-        let cross = self.random.u8(0..100) < percent;
+        let is_cross_zone = self.random.u8(0..100) < percent;
         let instance = self
-            .next_in_round(cross)
-            .or_else(|| self.next_in_round(!cross))?;
+            .next_in_round(is_cross_zone)
+            .or_else(|| self.next_in_round(!is_cross_zone))?;
         let entry = self.directory.find(&instance)?;
         Some(Arc::clone(&entry.record))
     }
 
-    fn next_in_round(&mut self, cross: bool) -> Option<InstanceId> {
+    fn next_in_round(&mut self, is_cross_zone: bool) -> Option<InstanceId> {
         let directory = &self.directory;
         let random = &mut self.random;
         let zone = &self.own.zone;
-        let round = if cross {
+        let round = if is_cross_zone {
             &mut self.probes.cross_zone
         } else {
             &mut self.probes.in_zone
         };
         let wanted = |record: &MemberRecord| {
-            record.reachability != Reachability::Unreachable && (record.zone != *zone) == cross
+            record.reachability != Reachability::Unreachable
+                && (record.zone != *zone) == is_cross_zone
         };
-        let serves = |instance: &InstanceId| {
+        let is_eligible = |instance: &InstanceId| {
             let entry = directory.find(instance);
             entry.is_some_and(|entry| wanted(&entry.record))
         };
@@ -144,15 +145,17 @@
             random.shuffle(&mut instances);
             instances
         };
-        round.next(serves, refill)
+        round.next(is_eligible, refill)
     }
 
     fn check_probes(&mut self, now: ClockTime) {
         let timeout = self.settings.probe_timeout;
         let interval = self.settings.probe_interval;
         let expired = self.probes.take_expired(|sent| now.since(sent) >= interval);
-        let late = self.probes.take_late(|sent| now.since(sent) >= timeout);
-        for probe in late {
+        let timed_out = self
+            .probes
+            .take_timed_out(|sent| now.since(sent) >= timeout);
+        for probe in timed_out {
             self.probe_indirectly(&probe, now);
         }
         for probe in expired {
@@ -178,7 +181,7 @@
                 target: probe.target.clone(),
                 address,
             };
-            self.send(&helper, body, Vec::new(), SendUrgency::Urgent, now);
+            self.send(&helper, body, Vec::new(), SendPriority::Urgent, now);
         }
     }
 
@@ -187,22 +190,22 @@
         let Some(entry) = self.directory.find(&probe.target) else {
             return;
         };
-        let same_life = entry.record.incarnation == probe.incarnation;
-        if same_life && entry.record.reachability == Reachability::Reachable {
+        let same_incarnation = entry.record.incarnation == probe.incarnation;
+        if same_incarnation && entry.record.reachability == Reachability::Reachable {
             let record = Arc::clone(&entry.record);
-            self.zones_doubtful |= record.zone != self.own.zone;
+            self.cross_zone_unanswered |= record.zone != self.own.zone;
             self.set_reachability(&record, Reachability::Suspected, now);
         }
     }
 
     fn check_suspicions(&mut self, now: ClockTime) {
-        let span = self.settings.suspicion_span_at(self.size());
+        let span = self.settings.suspicion_span_at(self.fleet_size());
         let entries = self.directory.entries().iter();
-        let over = entries.filter(|entry| {
+        let timed_out = entries.filter(|entry| {
             let suspected = entry.record.reachability == Reachability::Suspected;
-            suspected && now.since(entry.since) >= span
+            suspected && now.since(entry.reachability_changed_at) >= span
         });
-        let records: Vec<_> = over.map(|entry| Arc::clone(&entry.record)).collect();
+        let records: Vec<_> = timed_out.map(|entry| Arc::clone(&entry.record)).collect();
         for record in records {
             self.set_reachability(&record, Reachability::Unreachable, now);
         }
@@ -218,13 +221,13 @@
             reachability,
             ..record.clone()
         };
-        self.merge(&record, NewsOrigin::Rumour, now);
+        self.merge(&record, RumourOrigin::Gossip, now);
     }
 
     fn forget(&mut self, now: ClockTime) {
-        let members_went = self.directory.forget(&self.settings, now);
-        let notes_went = self.notes.expire(&self.settings, now);
-        if members_went || notes_went {
+        let members_removed = self.directory.forget(&self.settings, now);
+        let notes_removed = self.notes.expire(&self.settings, now);
+        if members_removed || notes_removed {
             self.revision += 1;
         }
     }
--- a/crates/guavawell-core/src/instance/message.rs
+++ b/crates/guavawell-core/src/instance/message.rs
@@ -112,9 +112,9 @@
     ///
     /// Returns an error if the bytes are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
-        let (message, rest) =
+        let (message, remaining) =
             postcard::take_from_bytes(bytes).map_err(|error| MessageError::from_codec(&error))?;
-        if rest.is_empty() {
+        if remaining.is_empty() {
             return Ok(message);
         }
         Err(MessageError("trailing bytes".into()))
--- a/crates/guavawell-core/src/instance/mod.rs
+++ b/crates/guavawell-core/src/instance/mod.rs
@@ -34,7 +34,7 @@
 pub use record::MemberRecord;
 pub use record::Reachability;
 pub use record::draw_incarnation;
-pub use settings::DATAGRAM_OVERHEAD;
+pub use settings::DATAGRAM_OVERHEAD_BYTES;
 pub use settings::MAX_MESSAGE_BYTES;
 pub use settings::MembershipSettings;
 pub use view::MemberView;
--- a/crates/guavawell-core/src/instance/note.rs
+++ b/crates/guavawell-core/src/instance/note.rs
@@ -63,43 +63,43 @@
 }
 
 #[derive(Clone, Debug)]
-struct KeptNote {
+struct StoredNote {
     note: Arc<GossipNote>,
-    renewed: ClockTime,
+    renewed_at: ClockTime,
 }
 
 /// The notes that one instance keeps, sorted by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NoteStore {
-    notes: Vec<KeptNote>,
+    notes: Vec<StoredNote>,
 }
 
 impl NoteStore {
     /// Takes a note in; `Ok(true)` if it was news.
-    pub(super) fn take(
+    pub(super) fn apply(
         &mut self,
         note: &GossipNote,
         zone: &ZoneId,
         settings: &MembershipSettings,
         now: ClockTime,
     ) -> Result<bool, NoteError> {
-        check(note, zone, settings)?;
+        validate(note, zone, settings)?;
         let position = self.position(&note.key);
-        let kept = KeptNote {
+        let stored = StoredNote {
             note: Arc::new(note.clone()),
-            renewed: now,
+            renewed_at: now,
         };
         match position {
             Ok(index) if self.notes[index].note.version >= note.version => Ok(false),
             Ok(index) => {
-                self.notes[index] = kept;
+                self.notes[index] = stored;
                 Ok(true)
             }
             Err(_) if self.notes.len() >= settings.max_notes => {
                 Err(NoteError::TooMany(note.key.clone()))
             }
             Err(index) => {
-                self.notes.insert(index, kept);
+                self.notes.insert(index, stored);
                 Ok(true)
             }
         }
@@ -114,29 +114,34 @@
     /// Drops notes that were not renewed, but for those of the fleet; true if any went.
     pub(super) fn expire(&mut self, settings: &MembershipSettings, now: ClockTime) -> bool {
         let before = self.notes.len();
-        self.notes.retain(|kept| {
-            kept.note.scope == NoteScope::Fleet || now.since(kept.renewed) < settings.note_lifetime
+        self.notes.retain(|stored| {
+            stored.note.scope == NoteScope::Fleet
+                || now.since(stored.renewed_at) < settings.note_lifetime
         });
         before != self.notes.len()
     }
 
     /// All notes, sorted by key.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
-        self.notes.iter().map(|kept| &kept.note)
+        self.notes.iter().map(|stored| &stored.note)
     }
 
     /// The notes that every instance keeps.
-    pub(super) fn of_fleet(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
+    pub(super) fn fleet_notes(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
         self.all().filter(|note| note.scope == NoteScope::Fleet)
     }
 
     fn position(&self, key: &str) -> Result<usize, usize> {
         self.notes
-            .binary_search_by(|kept| (*kept.note.key).cmp(key))
+            .binary_search_by(|stored| (*stored.note.key).cmp(key))
     }
 }
 
-fn check(note: &GossipNote, zone: &ZoneId, settings: &MembershipSettings) -> Result<(), NoteError> {
+fn validate(
+    note: &GossipNote,
+    zone: &ZoneId,
+    settings: &MembershipSettings,
+) -> Result<(), NoteError> {
     if note.key.len() > MAX_NOTE_KEY_BYTES {
         return Err(NoteError::KeyTooLong(note.key.clone()));
     }
--- a/crates/guavawell-core/src/instance/owner.rs
+++ b/crates/guavawell-core/src/instance/owner.rs
@@ -34,19 +34,19 @@
     own: &InstanceId,
     key: &[u8],
 ) -> Option<usize> {
-    let place = (weight(own, key), own);
+    let own_order = (weight(own, key), own);
     let mut found = false;
     let mut before = 0;
     for member in members {
         found |= member == own;
-        before += usize::from((weight(member, key), member) > place);
+        before += usize::from((weight(member, key), member) > own_order);
     }
     found.then_some(before)
 }
 
 fn weight(member: &InstanceId, key: &[u8]) -> u64 {
-    let seed = stable_hash(FNV_OFFSET, member.as_str().as_bytes());
-    mix(stable_hash(mix(seed), key))
+    let seed = fnv1a(FNV_OFFSET, member.as_str().as_bytes());
+    mix(fnv1a(mix(seed), key))
 }
 
 /// Offset basis of FNV-1a with 64 bits.
@@ -54,7 +54,7 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// FNV-1a from `seed`: the same on every machine and in every version.
-pub(super) fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
+pub(super) fn fnv1a(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(seed, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
     })
--- a/crates/guavawell-core/src/instance/probe.rs
+++ b/crates/guavawell-core/src/instance/probe.rs
@@ -36,38 +36,38 @@
 /// Members still to be probed in this round, in random order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeRound {
-    rest: Vec<InstanceId>,
+    remaining: Vec<InstanceId>,
 }
 
 impl ProbeRound {
-    /// The next member that still `serves`, starting a new round where this one ended.
+    /// The next member that still `is_eligible`, starting a new round where this one ended.
     pub(super) fn next(
         &mut self,
-        serves: impl Fn(&InstanceId) -> bool,
+        is_eligible: impl Fn(&InstanceId) -> bool,
         refill: impl FnOnce() -> Vec<InstanceId>,
     ) -> Option<InstanceId> {
-        while let Some(instance) = self.rest.pop() {
-            if serves(&instance) {
+        while let Some(instance) = self.remaining.pop() {
+            if is_eligible(&instance) {
                 return Some(instance);
             }
         }
-        self.rest = refill();
-        self.rest.pop()
+        self.remaining = refill();
+        self.remaining.pop()
     }
 }
 
 /// The probes of one instance.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ProbeBook {
+pub(super) struct ProbeTracker {
     pub(super) in_zone: ProbeRound,
     pub(super) cross_zone: ProbeRound,
     pending: Vec<PendingProbe>,
     last_number: u64,
 }
 
-impl ProbeBook {
+impl ProbeTracker {
     /// Notes a probe and gives its number.
-    pub(super) fn open(
+    pub(super) fn register(
         &mut self,
         target: InstanceId,
         incarnation: IncarnationId,
@@ -86,7 +86,7 @@
     }
 
     /// Closes the probe that an answer belongs to; a former life's answer counts for nothing.
-    pub(super) fn close(
+    pub(super) fn complete(
         &mut self,
         number: u64,
         target: &InstanceId,
@@ -99,30 +99,33 @@
     }
 
     /// Own probes older than `before` for which nobody else was asked yet, now marked as asked.
-    pub(super) fn take_late(&mut self, is_late: impl Fn(ClockTime) -> bool) -> Vec<PendingProbe> {
-        let mut late = Vec::new();
+    pub(super) fn take_timed_out(
+        &mut self,
+        is_timed_out: impl Fn(ClockTime) -> bool,
+    ) -> Vec<PendingProbe> {
+        let mut timed_out = Vec::new();
         for probe in &mut self.pending {
             let own = probe.origin == ProbeOrigin::Own { indirect: false };
-            if own && is_late(probe.sent) {
+            if own && is_timed_out(probe.sent) {
                 probe.origin = ProbeOrigin::Own { indirect: true };
-                late.push(probe.clone());
+                timed_out.push(probe.clone());
             }
         }
-        late
+        timed_out
     }
 
     /// Removes probes whose time is over.
     pub(super) fn take_expired(
         &mut self,
-        is_over: impl Fn(ClockTime) -> bool,
+        has_expired: impl Fn(ClockTime) -> bool,
     ) -> Vec<PendingProbe> {
         let mut expired = Vec::new();
         self.pending.retain(|probe| {
-            let over = is_over(probe.sent);
-            if over {
+            let is_expired = has_expired(probe.sent);
+            if is_expired {
                 expired.push(probe.clone());
             }
-            !over
+            !is_expired
         });
         expired
     }
--- a/crates/guavawell-core/src/instance/queue.rs
+++ b/crates/guavawell-core/src/instance/queue.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether a leaving mark waits; it is first in the order.
-    pub(super) fn has_leaving_mark(&self) -> bool {
+    pub(super) fn has_leave_announcement(&self) -> bool {
         let first = self.rumours.first();
         first.is_some_and(|queued| queued.class == RumourClass::Leaving)
     }
--- a/crates/guavawell-core/src/instance/record.rs
+++ b/crates/guavawell-core/src/instance/record.rs
@@ -63,8 +63,8 @@
         if self.incarnation != other.incarnation {
             return other.incarnation > self.incarnation;
         }
-        let leaves = other.leaving && !self.leaving;
-        leaves || other.standing() > self.standing()
+        let newly_leaving = other.leaving && !self.leaving;
+        newly_leaving || other.status() > self.status()
     }
 
     /// Takes over what `other`, of the same instance, knows better.
@@ -78,7 +78,7 @@
         if other.incarnation < self.incarnation {
             return;
         }
-        if other.standing() > self.standing() {
+        if other.status() > self.status() {
             self.refutation = other.refutation;
             self.reachability = other.reachability;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Order of two records of one life: a refutation beats an earlier suspicion.
-    fn standing(&self) -> (u32, Reachability) {
+    fn status(&self) -> (u32, Reachability) {
         (self.refutation, self.reachability)
     }
 }
--- a/crates/guavawell-core/src/instance/settings.rs
+++ b/crates/guavawell-core/src/instance/settings.rs
@@ -3,10 +3,10 @@
 use crate::clock::ClockSpan;
 
 /// Bytes that IPv4, UDP, key number and authentication code add to each datagram.
-pub const DATAGRAM_OVERHEAD: usize = 28 + 17;
+pub const DATAGRAM_OVERHEAD_BYTES: usize = 28 + 17;
 
 /// Largest encoded message, so that a datagram stays under 1,400 bytes.
-pub const MAX_MESSAGE_BYTES: usize = 1_400 - DATAGRAM_OVERHEAD;
+pub const MAX_MESSAGE_BYTES: usize = 1_400 - DATAGRAM_OVERHEAD_BYTES;
 
 /// Intervals, limits and shares of one instance's membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// Percentage of probes, gossip and comparisons that leave the zone.
     pub cross_zone_percent: u8,
     /// The same for probes, once a probe into another zone was left unanswered.
-    pub doubtful_zone_percent: u8,
+    pub degraded_cross_zone_percent: u8,
     /// Bytes a second that this instance may send, datagram headers included.
     pub bytes_per_second: u64,
     /// Bytes that may be sent at once after a quiet time.
@@ -44,9 +44,9 @@
     /// A gap between two ticks that shows that this process itself was paused.
     pub pause_span: ClockSpan,
     /// Time after which an unreachable instance that the list does not name is forgotten.
-    pub forget_span: ClockSpan,
+    pub forget_delisted_span: ClockSpan,
     /// The same, where no list was ever read or the list still names it.
-    pub forget_unlisted_span: ClockSpan,
+    pub forget_listed_span: ClockSpan,
     /// Most unreachable instances kept; the longest unreachable goes first.
     pub max_unreachable: usize,
     /// Most forgotten lives remembered as a hash, so that they are not taken in again.
@@ -85,12 +85,12 @@
             sync_pages: 4,
             reconnect_interval: ClockSpan::from_millis(2_000),
             cross_zone_percent: 25,
-            doubtful_zone_percent: 75,
+            degraded_cross_zone_percent: 75,
             bytes_per_second: 10_000,
             burst_bytes: 20_000,
             pause_span: ClockSpan::from_millis(2_000),
-            forget_span: ClockSpan::from_millis(600_000),
-            forget_unlisted_span: ClockSpan::from_millis(86_400_000),
+            forget_delisted_span: ClockSpan::from_millis(600_000),
+            forget_listed_span: ClockSpan::from_millis(86_400_000),
             max_unreachable: 1_000,
             max_tombstones: 4_096,
             member_sends: 4,
--- a/crates/guavawell-core/tests/membership/bound.rs
+++ b/crates/guavawell-core/tests/membership/bound.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_sent_stay_under_the_setting_in_a_flood_and_a_leaving_mark_still_passes() {
+fn bytes_sent_stay_within_the_limit_in_a_flood_and_a_leave_announcement_still_spreads() {
     let mut pump = MessagePump::converged(30, 7, 11);
     let settings = MembershipSettings::default();
     let began = pump.now;
@@ -59,11 +59,15 @@
         let elapsed = pump.now.since(began).as_millis();
         let allowed = settings.burst_bytes + settings.bytes_per_second * elapsed / 1_000;
         let after = sent(&pump);
-        let most = after
+        let sent_bytes = after
             .iter()
             .zip(&before)
             .map(|(after, before)| after - before);
-        assert!(most.max().expect("nodes") <= allowed, "at {}", pump.now);
+        assert!(
+            sent_bytes.max().expect("nodes") <= allowed,
+            "at {}",
+            pump.now
+        );
     }
     assert!(left_at.expect("the mark passed") <= 230);
     let withheld: u64 = pump
@@ -75,9 +79,9 @@
 }
 
 #[test]
-fn members_are_forgotten_once_unlisted_and_their_life_is_not_taken_in_again() {
+fn delisted_members_are_forgotten_and_their_incarnation_is_not_readmitted() {
     let mut pump = MessagePump::new(2, 12);
-    pump.settings.forget_span = ClockSpan::from_millis(20_000);
+    pump.settings.forget_delisted_span = ClockSpan::from_millis(20_000);
     for number in 0..8 {
         pump.add(number);
     }
@@ -103,10 +107,10 @@
 }
 
 #[test]
-fn absent_list_entry_removes_nobody() {
+fn an_empty_list_removes_no_member() {
     let mut pump = MessagePump::converged(6, 2, 13);
     for node in &mut pump.nodes {
-        node.membership.list(&[]);
+        node.membership.set_listed(&[]);
     }
     for _ in 0..200 {
         pump.step();
@@ -156,11 +160,11 @@
     // A newcomer learns the fleet's notes by comparison.
     pump.add(12);
     pump.list_all();
-    let told = |pump: &MessagePump| {
+    let learned = |pump: &MessagePump| {
         let view = pump.nodes[12].membership.view();
         view.note("manifest") == Some(&version)
     };
-    assert!(pump.run_until(300, told));
+    assert!(pump.run_until(300, learned));
     // A zone's note that nobody renews goes after a minute.
     let gone = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
--- a/crates/guavawell-core/tests/membership/failure.rs
+++ b/crates/guavawell-core/tests/membership/failure.rs
@@ -10,7 +10,7 @@
 use crate::pump::routable;
 
 /// Steps within which a leaving mark must be everywhere: 3 s.
-const LEAVING_STEPS: usize = 30;
+const LEAVE_ANNOUNCEMENT_STEPS: usize = 30;
 
 fn knows_unreachable(node: &PumpNode, number: usize) -> bool {
     let view = node.membership.view();
@@ -26,13 +26,13 @@
     }
     let seed = [pump.nodes[0].address];
     for node in &mut pump.nodes {
-        node.membership.seed(&seed);
+        node.membership.set_seeds(&seed);
     }
     assert!(pump.run_until(300, MessagePump::is_converged));
 }
 
 #[test]
-fn leaving_mark_is_everywhere_within_three_seconds() {
+fn leave_announcement_reaches_everyone_within_three_seconds() {
     for seed in 0..10 {
         let mut pump = MessagePump::converged(60, 7, seed);
         pump.loss_percent = 10;
@@ -41,7 +41,10 @@
             pump.live()
                 .all(|node| !routable(node).contains(&instance(7)))
         };
-        assert!(pump.run_until(LEAVING_STEPS, gone), "seed {seed}");
+        assert!(
+            pump.run_until(LEAVE_ANNOUNCEMENT_STEPS, gone),
+            "seed {seed}"
+        );
     }
 }
 
@@ -68,12 +71,12 @@
 }
 
 #[test]
-fn restarted_instance_at_the_same_address_replaces_its_former_life() {
+fn restarted_instance_at_the_same_address_replaces_its_older_incarnation() {
     let mut pump = MessagePump::converged(12, 3, 4);
     let former = pump.nodes[6].membership.view().own().incarnation;
     pump.add(6);
     let seeds = [listed(&pump.nodes[0])];
-    pump.nodes[6].membership.list(&seeds);
+    pump.nodes[6].membership.set_listed(&seeds);
     let replaced = |pump: &MessagePump| {
         let mut views = pump.live().map(|node| node.membership.view());
         views.all(|view| {
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn former_life_that_still_runs_learns_that_it_is_superseded() {
+fn older_incarnation_that_still_runs_learns_that_it_is_superseded() {
     let mut pump = MessagePump::converged(6, 2, 6);
     pump.now = pump.now + guavawell_core::clock::ClockSpan::from_millis(1);
     let index = pump.add_as(3, 50);
@@ -115,17 +118,17 @@
         let mut pump = MessagePump::converged(42, 7, seed);
         let cut = pump.nodes.iter_mut().enumerate();
         for (_, node) in cut.filter(|(index, _)| index % 7 == 2) {
-            node.group = 1;
+            node.partition = 1;
         }
-        let apart = |pump: &MessagePump| {
+        let separated = |pump: &MessagePump| {
             pump.live().all(|node| {
-                let expected = if node.group == 0 { 36 } else { 6 };
+                let expected = if node.partition == 0 { 36 } else { 6 };
                 routable(node).len() == expected
             })
         };
-        assert!(pump.run_until(1_200, apart), "seed {seed}");
+        assert!(pump.run_until(1_200, separated), "seed {seed}");
         for node in &mut pump.nodes {
-            node.group = 0;
+            node.partition = 0;
         }
         assert!(
             pump.run_until(600, MessagePump::is_converged),
--- a/crates/guavawell-core/tests/membership/property.rs
+++ b/crates/guavawell-core/tests/membership/property.rs
@@ -7,21 +7,21 @@
 use crate::pump::own_id;
 
 /// Sequences of faults that are tried.
-const SEEDS: u64 = 24;
+const SEED_COUNT: u64 = 24;
 
 /// Faults in one sequence.
-const FAULTS: usize = 12;
+const FAULTS_PER_SEED: usize = 12;
 
 /// Steps within which a healed fleet must agree: 120 s.
 const HEALING_STEPS: usize = 1_200;
 
 /// The highest life of each instance that each life of an observer has seen.
 #[derive(Default)]
-struct SeenLives {
-    lives: Vec<(InstanceId, IncarnationId, InstanceId, IncarnationId)>,
+struct SeenIncarnations {
+    incarnations: Vec<(InstanceId, IncarnationId, InstanceId, IncarnationId)>,
 }
 
-impl SeenLives {
+impl SeenIncarnations {
     /// Fails if an observer shows an older life than it did before.
     fn check(&mut self, pump: &MessagePump) {
         for node in &pump.nodes {
@@ -39,17 +39,17 @@
     fn see(&mut self, observer: (&InstanceId, IncarnationId), seen: (&InstanceId, IncarnationId)) {
         let key = (observer.0, observer.1, seen.0);
         let position = self
-            .lives
+            .incarnations
             .binary_search_by(|(a, b, c, _)| (a, *b, c).cmp(&key));
         match position {
             Ok(index) => {
-                let highest = &mut self.lives[index].3;
+                let highest = &mut self.incarnations[index].3;
                 assert!(seen.1 >= *highest, "{observer:?} went back on {seen:?}");
                 *highest = seen.1;
             }
             Err(index) => {
-                let life = (observer.0.clone(), observer.1, seen.0.clone(), seen.1);
-                self.lives.insert(index, life);
+                let entry = (observer.0.clone(), observer.1, seen.0.clone(), seen.1);
+                self.incarnations.insert(index, entry);
             }
         }
     }
@@ -61,16 +61,16 @@
     match random.u8(0..7) {
         0 => pump.nodes[index].running = false,
         1 => {
-            let place = index;
-            pump.add(place);
+            let address_number = index;
+            pump.add(address_number);
             pump.list_all();
         }
         2 => pump.nodes[index].paused = true,
         3 => pump.nodes[index].paused = false,
         4 => {
             let zones = random.usize(2..=4);
-            for (place, node) in pump.nodes.iter_mut().enumerate() {
-                node.group = u8::from(place % zones == 0);
+            for (position, node) in pump.nodes.iter_mut().enumerate() {
+                node.partition = u8::from(position % zones == 0);
             }
         }
         5 => pump.loss_percent = random.u8(0..30),
@@ -81,7 +81,7 @@
 fn heal(pump: &mut MessagePump) {
     pump.loss_percent = 0;
     for index in 0..pump.nodes.len() {
-        pump.nodes[index].group = 0;
+        pump.nodes[index].partition = 0;
         pump.nodes[index].paused = false;
         let ended = !pump.nodes[index].running || pump.nodes[index].superseded;
         if ended {
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn views_converge_after_any_faults_and_never_go_back_to_an_older_life() {
-    for seed in 0..SEEDS {
+fn views_converge_after_any_faults_and_never_return_to_an_older_incarnation() {
+    for seed in 0..SEED_COUNT {
         let mut random = fastrand::Rng::with_seed(seed);
         let count = random.usize(6..=30);
         let zones = random.usize(1..=7);
         let mut pump = MessagePump::converged(count, zones, seed);
-        let mut seen = SeenLives::default();
-        for _ in 0..FAULTS {
+        let mut seen = SeenIncarnations::default();
+        for _ in 0..FAULTS_PER_SEED {
             inject(&mut pump, &mut random);
             for _ in 0..random.usize(1..80) {
                 pump.step();
--- a/crates/guavawell-core/tests/membership/pump.rs
+++ b/crates/guavawell-core/tests/membership/pump.rs
@@ -29,9 +29,9 @@
     pub running: bool,
     pub paused: bool,
     /// Nodes talk only within one group.
-    pub group: u8,
+    pub partition: u8,
     pub superseded: bool,
-    waiting: Vec<(SocketAddr, GossipMessage)>,
+    held_messages: Vec<(SocketAddr, GossipMessage)>,
 }
 
 /// The instances and the messages between them.
@@ -79,9 +79,9 @@
         self.add_as(number, number)
     }
 
-    /// Starts instance `number` at the address of instance `place`.
-    pub fn add_as(&mut self, number: usize, place: usize) -> usize {
-        let record = self.record(number, place);
+    /// Starts instance `number` at the address of instance `address_number`.
+    pub fn add_as(&mut self, number: usize, address_number: usize) -> usize {
+        let record = self.record(number, address_number);
         let address = record.gossip_address;
         let seed = self.random.u64(..);
         let node = PumpNode {
@@ -89,9 +89,9 @@
             address,
             running: true,
             paused: false,
-            group: 0,
+            partition: 0,
             superseded: false,
-            waiting: Vec::new(),
+            held_messages: Vec::new(),
         };
         let former = self.nodes.iter().position(|old| old.address == address);
         if let Some(index) = former {
@@ -102,14 +102,14 @@
         self.nodes.len() - 1
     }
 
-    fn record(&mut self, number: usize, place: usize) -> MemberRecord {
-        let host = 0x0a00_0000 + u32::try_from(place).expect("a small number");
+    fn record(&mut self, number: usize, address_number: usize) -> MemberRecord {
+        let host = 0x0a00_0000 + u32::try_from(address_number).expect("a small number");
         let address = |port: u16| SocketAddr::from((Ipv4Addr::from_bits(host), port));
         MemberRecord {
             instance: instance(number),
             incarnation: draw_incarnation(self.now, self.random.u64(..)),
             refutation: 0,
-            zone: zone(place % self.zones),
+            zone: zone(address_number % self.zones),
             caller_address: address(8080),
             peer_address: address(8081),
             gossip_address: address(8082),
@@ -124,7 +124,7 @@
         let running = self.nodes.iter().filter(|node| node.running);
         let listed: Vec<_> = running.map(listed).collect();
         for node in &mut self.nodes {
-            node.membership.list(&listed);
+            node.membership.set_listed(&listed);
         }
     }
 
@@ -134,14 +134,14 @@
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
             if node.running && !node.paused {
-                for (from, message) in std::mem::take(&mut node.waiting) {
+                for (from, message) in std::mem::take(&mut node.held_messages) {
                     let effects = self.nodes[index]
                         .membership
                         .receive(from, &message, self.now);
-                    self.carry_out(index, effects);
+                    self.apply_effects(index, effects);
                 }
                 let effects = self.nodes[index].membership.tick(self.now);
-                self.carry_out(index, effects);
+                self.apply_effects(index, effects);
             }
         }
         self.deliver();
@@ -161,7 +161,7 @@
     /// Announces that a node leaves.
     pub fn leave(&mut self, index: usize) {
         let effects = self.nodes[index].membership.leave(self.now);
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
     /// Whether every running node can route to exactly the running nodes.
@@ -180,7 +180,7 @@
         running.filter(|node| !node.membership.view().own().leaving)
     }
 
-    fn carry_out(&mut self, index: usize, effects: Vec<MemberEffect>) {
+    fn apply_effects(&mut self, index: usize, effects: Vec<MemberEffect>) {
         for effect in effects {
             match effect {
                 MemberEffect::Send { to, message } => {
@@ -204,13 +204,13 @@
                 continue;
             };
             if self.nodes[index].paused {
-                self.nodes[index].waiting.push((from, message));
+                self.nodes[index].held_messages.push((from, message));
                 continue;
             }
             let effects = self.nodes[index]
                 .membership
                 .receive(from, &message, self.now);
-            self.carry_out(index, effects);
+            self.apply_effects(index, effects);
         }
     }
 
@@ -218,7 +218,7 @@
         let index = self.nodes.iter().position(|node| node.address == to)?;
         let sender = self.nodes.iter().find(|node| node.address == from)?;
         let receiver = &self.nodes[index];
-        (receiver.running && sender.group == receiver.group).then_some(index)
+        (receiver.running && sender.partition == receiver.partition).then_some(index)
     }
 }
 
--- a/crates/guavawell-core/tests/membership/report.rs
+++ b/crates/guavawell-core/tests/membership/report.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_passing_note_reaches_every_zone_and_goes_when_not_renewed() {
+fn a_passing_note_reaches_every_zone_and_expires_unless_renewed() {
     let mut pump = MessagePump::converged(12, 3, 32);
     pump.loss_percent = 20;
     let now = pump.now;
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_manifest_version_is_told_once_however_many_have_it_in_force() {
+fn a_manifest_version_is_announced_once_however_many_instances_run_it() {
     let mut pump = MessagePump::converged(60, 7, 33);
     for _ in 0..100 {
         pump.step();
@@ -134,7 +134,7 @@
     let quiet = sent(&pump) - quiet_from;
     let version = ManifestVersion::new(2);
     pump.nodes[0].membership.set_manifest(version);
-    let heard = |pump: &MessagePump| {
+    let learned = |pump: &MessagePump| {
         pump.nodes.iter().all(|node| {
             let view = node.membership.view();
             view.members()
@@ -142,8 +142,8 @@
                 .any(|member| member.manifest == version)
         })
     };
-    let told_from = sent(&pump);
-    assert!(pump.run_until(30, heard), "not known after 3 s");
+    let sent_before = sent(&pump);
+    assert!(pump.run_until(30, learned), "not known after 3 s");
     // All the others have it in force now, and say so only by themselves.
     for node in &mut pump.nodes {
         node.membership.set_manifest(version);
@@ -151,6 +151,9 @@
     for _ in 0..50 {
         pump.step();
     }
-    let told = sent(&pump) - told_from;
-    assert!(told < 6 * quiet, "{told} bytes, {quiet} while quiet");
+    let announcement_bytes = sent(&pump) - sent_before;
+    assert!(
+        announcement_bytes < 6 * quiet,
+        "{announcement_bytes} bytes, {quiet} while quiet"
+    );
 }
--- a/crates/guavawell-core/tests/membership/value.rs
+++ b/crates/guavawell-core/tests/membership/value.rs
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn leaving_is_never_taken_back_within_a_life() {
+fn leaving_is_never_undone_within_an_incarnation() {
     let mut random = fastrand::Rng::with_seed(2);
     for _ in 0..2_000 {
         let mut merged = record(&mut random);
         let before = merged.clone();
         merged.merge(&record(&mut random));
-        let same_life = merged.incarnation == before.incarnation;
+        let same_incarnation = merged.incarnation == before.incarnation;
         assert!(merged.incarnation >= before.incarnation);
-        assert!(!same_life || merged.leaving >= before.leaving);
+        assert!(!same_incarnation || merged.leaving >= before.leaving);
     }
 }
 
 #[test]
-fn message_is_read_whole_or_not_at_all() {
+fn incomplete_and_overlong_messages_are_rejected() {
     let mut random = fastrand::Rng::with_seed(3);
     let message = GossipMessage {
         sender: record(&mut random),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn owner_is_balanced_and_moves_only_what_it_must() {
+fn ownership_is_balanced_and_only_keys_of_a_removed_member_move() {
     let members: Vec<InstanceId> = (0..56).map(instance).collect();
     let keys: Vec<String> = (0..5_600).map(|number| format!("slot/{number}")).collect();
     let mut owned = vec![0_usize; members.len()];
--- a/crates/guavawell-fleet/examples/gossip_cost/load.rs
+++ b/crates/guavawell-fleet/examples/gossip_cost/load.rs
@@ -297,7 +297,7 @@
         let seed = self.first_address();
         let node = &mut self.nodes[index];
         node.membership = start_membership(&record(index + 1, self.now), self.now);
-        node.membership.seed(&[seed]);
+        node.membership.set_seeds(&[seed]);
     }
 
     fn carry_out(&mut self, index: usize, effects: Vec<MemberEffect>) {
--- a/crates/guavawell-fleet/src/gossip/driver.rs
+++ b/crates/guavawell-fleet/src/gossip/driver.rs
@@ -131,7 +131,7 @@
         let started_at = (settings.now)();
         let mut membership =
             Membership::start(settings.membership, own, settings.random_seed, started_at);
-        membership.seed(&settings.seeds);
+        membership.set_seeds(&settings.seeds);
         let view = ArcSwap::from_pointee(membership.view());
         let (waiting_reports, reports) = channel::bounded(WAITING_REPORTS);
         let shared = DriverState {
@@ -179,7 +179,7 @@
 
     /// Takes the platform's list.
     pub fn list(&self, listed: &[ListedInstance]) {
-        self.membership().list(listed);
+        self.membership().set_listed(listed);
     }
 
     /// Announces that this instance leaves.
