--- a/crates/guavawell-core/src/instance/allowance.rs
+++ b/crates/guavawell-core/src/instance/allowance.rs
@@ -2,29 +2,32 @@
 
 use crate::clock::ClockTime;
 
-/// How far down a datagram may draw the allowance.
+/// Priority of a datagram, which limits how much of the allowance it may use.
 ///
-/// Each kind leaves room for the more urgent ones, so that a flood of notes
-/// neither silences probes nor keeps a new instance from learning the fleet.
+/// Each priority leaves a reserve for the higher ones, so that a flood of notes
+/// neither blocks probes nor keeps a new instance from learning the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendPriority {
-    /// Probes, answers to probes and leaving marks: to the end.
+    /// Probes, answers to probes, records that contradict a sender's own, and the
+    /// initial send of a leave announcement: may use the whole allowance.
     Urgent,
-    /// Comparisons of whole states, and rounds of gossip with a leaving mark:
-    /// down to a quarter.
+    /// State sync, and gossip while a leave announcement is queued: leave a
+    /// quarter of the burst size.
     Sync,
-    /// Rounds of gossip: down to a half.
+    /// Other gossip: leaves half of the burst size.
     Gossip,
-    /// Load reports: down to three quarters, so that they give way first.
+    /// Load reports: leave three quarters of the burst size, so that they are
+    /// withheld first.
     Report,
 }
 
-/// Bytes that may still be sent.
+/// Token bucket of the bytes that an instance may send.
 #[derive(Clone, Debug)]
 pub(super) struct SendAllowance {
     bytes_per_second: u64,
     burst_bytes: u64,
-    /// Allowance in thousandths of a byte, so that short spans count.
+    /// Remaining allowance in thousandths of a byte, so that a refill after a
+    /// few milliseconds is not rounded away.
     millibytes: u64,
     refilled_at: ClockTime,
 }
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Bytes that a datagram of this urgency may take now.
+    /// Returns the bytes that a datagram of this priority may use now.
     pub(super) fn available(&mut self, priority: SendPriority, now: ClockTime) -> usize {
         self.refill(now);
         let bytes = self.millibytes / 1_000;
@@ -52,7 +55,7 @@
         usize::try_from(bytes.saturating_sub(reserved)).unwrap_or(usize::MAX)
     }
 
-    /// Takes the bytes of a datagram that is sent.
+    /// Deducts the bytes of a datagram that is sent.
     pub(super) fn take(&mut self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.millibytes = self.millibytes.saturating_sub(bytes.saturating_mul(1_000));
--- a/crates/guavawell-core/src/instance/directory.rs
+++ b/crates/guavawell-core/src/instance/directory.rs
@@ -1,4 +1,4 @@
-//! All members that an instance knows, and the lives it has forgotten.
+//! The members that an instance knows, and tombstones of forgotten ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,20 +13,21 @@
 use crate::id::IncarnationId;
 use crate::id::InstanceId;
 
-/// Buckets that a comparison of two states divides the members into.
+/// Number of buckets into which a sync divides the members.
 pub(super) const BUCKETS: usize = 64;
 
 /// One known member.
 #[derive(Clone, Debug)]
 pub(super) struct MemberEntry {
     pub(super) record: Arc<MemberRecord>,
-    /// When its reachability last changed here.
+    /// When its reachability last changed in this directory.
     pub(super) reachability_changed_at: ClockTime,
-    /// Whether the platform's list named it when last read.
+    /// Whether the platform's latest list of instances contains it.
     pub(super) listed: bool,
 }
 
-/// A forgotten life.
+/// What is kept of a forgotten member, so that peers that still have its record
+/// do not add it again.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
     hash: u64,
@@ -35,20 +36,20 @@
     created_at: ClockTime,
 }
 
-/// What a record changed.
+/// What merging a record changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MergeOutcome {
-    /// Nothing.
+    /// Nothing. A record that has a tombstone is ignored.
     Unchanged,
-    /// Only the manifest version in force.
+    /// Only the manifest version.
     Manifest,
-    /// The member's standing.
+    /// The member's incarnation, reachability, refutation count or leaving flag.
     Status,
-    /// The member was not known.
+    /// The member is new.
     Added,
 }
 
-/// The members beside this instance, sorted by id.
+/// The members other than this instance, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberDirectory {
     entries: Vec<MemberEntry>,
@@ -58,23 +59,23 @@
 }
 
 impl MemberDirectory {
-    /// The members, sorted by id.
+    /// Returns the members, sorted by id.
     pub(super) fn entries(&self) -> &[MemberEntry] {
         &self.entries
     }
 
-    /// How many forgotten lives are remembered.
+    /// Returns the number of tombstones.
     pub(super) fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// The member, if known.
+    /// Returns the member, if it is known.
     pub(super) fn find(&self, instance: &InstanceId) -> Option<&MemberEntry> {
         let index = self.position(instance).ok()?;
         Some(&self.entries[index])
     }
 
-    /// Takes a record in.
+    /// Merges a record; adds the member unless it has a tombstone.
     pub(super) fn merge(&mut self, record: &MemberRecord, now: ClockTime) -> MergeOutcome {
         let index = match self.position(&record.instance) {
             Ok(index) => index,
@@ -100,7 +101,8 @@
         MergeOutcome::Unchanged
     }
 
-    /// What speaks against the sender's own record, if anything does.
+    /// Returns the record that contradicts a sender's own: one in which it is not
+    /// reachable, or one of a later incarnation. A tombstone counts as unreachable.
     pub(super) fn contradicting_record(&self, sender: &MemberRecord) -> Option<MemberRecord> {
         if let Some(entry) = self.find(&sender.instance) {
             let not_reachable = entry.record.reachability != Reachability::Reachable;
@@ -116,7 +118,7 @@
         })
     }
 
-    /// Marks which members the platform's list names.
+    /// Marks the members that the platform's list contains.
     pub(super) fn mark_listed(&mut self, is_listed: impl Fn(&InstanceId) -> bool) {
         self.list_received = true;
         for entry in &mut self.entries {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Sets when suspicions began later, after this process itself was paused.
+    /// Restarts the time to refute for all suspected members.
     pub(super) fn restart_suspicions(&mut self, now: ClockTime) {
         for entry in &mut self.entries {
             if entry.record.reachability == Reachability::Suspected {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Forgets members that were unreachable for long; true if any went.
+    /// Removes members that were unreachable for too long, or exceed the limit
+    /// of unreachable members; true if any was removed.
     pub(super) fn forget(&mut self, settings: &MembershipSettings, now: ClockTime) -> bool {
         let before = self.entries.len();
         let mut forgotten = self.expired(settings, now);
@@ -144,8 +147,10 @@
         before != self.entries.len()
     }
 
-    /// One hash for each bucket over the records of `own` and all members
-    /// that are not unreachable, so that forgetting one makes no difference.
+    /// Returns one hash for each bucket, over `own` and the members.
+    ///
+    /// Unreachable members are left out: instances forget them at different
+    /// times, and these differences need no sync.
     pub(super) fn digest(&self, own: &MemberRecord) -> Vec<u32> {
         let mut buckets = vec![0; BUCKETS];
         let members = self.entries.iter().map(|entry| &*entry.record);
@@ -157,7 +162,7 @@
         buckets
     }
 
-    /// Records of the members in a bucket.
+    /// Returns the records of the members in a bucket.
     pub(super) fn bucket(&self, bucket: usize) -> impl Iterator<Item = &MemberRecord> {
         let records = self.entries.iter().map(|entry| &*entry.record);
         records.filter(move |record| bucket_of(&record.instance) == bucket)
@@ -251,7 +256,8 @@
         self.tombstone(record).is_some()
     }
 
-    /// The tombstone of this life, at its refutation or a later one, or of a later life.
+    /// Returns the instance's tombstone unless the record is newer, which means a
+    /// later incarnation or a later refutation of the same one.
     fn tombstone(&self, record: &MemberRecord) -> Option<Tombstone> {
         let hash = instance_hash(&record.instance);
         let index = self
@@ -273,7 +279,7 @@
     (instance_hash(instance) % BUCKETS as u64) as usize
 }
 
-#[allow(clippy::cast_possible_truncation)] // the lower half of a mixed hash serves as well
+#[allow(clippy::cast_possible_truncation)] // all bits of a mixed hash are equally good
 fn status_hash(record: &MemberRecord) -> u32 {
     let seed = instance_hash(&record.instance);
     let incarnation = fnv1a(seed, &record.incarnation.get().to_be_bytes());
--- a/crates/guavawell-core/src/instance/membership/mod.rs
+++ b/crates/guavawell-core/src/instance/membership/mod.rs
@@ -1,6 +1,7 @@
-//! The membership's state machine: events and a time in, effects out.
+//! State machine of gossip membership: takes events and the time, returns effects.
 //!
-//! It sends nothing and reads no clock; datagrams and timers are the fleet's.
+//! It does no I/O and reads no clock; its driver sends the datagrams and calls
+//! [`Membership::tick`].
 
 mod receive;
 mod send;
@@ -32,43 +33,43 @@
 use crate::id::InstanceId;
 use crate::id::ManifestVersion;
 
-/// What the driver carries out, in order.
+/// An effect for the driver to carry out, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEffect {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The receiver's gossip address.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: Box<GossipMessage>,
     },
-    /// A member's standing changed, for the event log.
+    /// A member was added or its status changed; goes to the event log.
     Changed {
         /// The member.
         instance: InstanceId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: IncarnationId,
-        /// Whether it answers.
+        /// Whether it answers probes.
         reachability: Reachability,
         /// Whether it has announced that it leaves.
         leaving: bool,
     },
-    /// A later life of this instance exists: take no more traffic, and end or
-    /// start again with an incarnation above `by`.
+    /// A higher incarnation of this instance exists: accept no more traffic, and
+    /// exit or restart with an incarnation above `by`.
     Superseded {
-        /// The later life.
+        /// The higher incarnation.
         by: IncarnationId,
     },
 }
 
-/// One entry of the platform's lagging list of instances.
+/// One entry of the platform's list of instances, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedInstance {
     /// The instance.
     pub instance: InstanceId,
-    /// Where it should receive gossip.
+    /// Its expected gossip address.
     pub gossip_address: SocketAddr,
-    /// Whether the platform is ending it.
+    /// Whether the platform is terminating it.
     pub terminating: bool,
 }
 
@@ -79,33 +80,33 @@
     pub refutations: u64,
     /// Datagrams not sent because the allowance was used up.
     pub withheld: u64,
-    /// The same, of load reports.
+    /// Load reports not sent because the allowance was used up.
     pub reports_withheld: u64,
-    /// Bytes given to the network, headers included.
+    /// Bytes of all datagrams sent, including headers.
     pub bytes_sent: u64,
-    /// Notes that were not taken.
+    /// Received notes that were rejected.
     pub notes_refused: u64,
-    /// Pauses of this process that were noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// News waiting to be passed on.
+    /// Rumours queued to be passed on.
     pub queued: usize,
-    /// Forgotten lives that are remembered.
+    /// Tombstones of forgotten members.
     pub tombstones: usize,
 }
 
-/// Times that a change learned from a comparison is still passed on.
+/// How often a change learned from a sync is passed on.
 const SENDS_AFTER_SYNC: u32 = 2;
 
-/// How a piece of news came in.
+/// How a rumour was learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RumourOrigin {
-    /// It was passed on, or noticed here.
+    /// By gossip, or detected by this instance.
     Gossip,
-    /// It came on a page of a comparison.
+    /// By a sync.
     Sync,
 }
 
-/// When each periodic task is due.
+/// When each periodic task is due, and when the last tick was.
 #[derive(Clone, Debug)]
 struct TaskTimes {
     probe: ClockTime,
@@ -115,7 +116,7 @@
     last_tick: ClockTime,
 }
 
-/// The membership as one instance knows it.
+/// The gossip membership of one instance.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -128,12 +129,13 @@
     random: fastrand::Rng,
     candidates: Vec<ListedInstance>,
     seeds: Vec<SocketAddr>,
-    /// Peer with which the last comparison left a difference.
+    /// Peer with which the next sync continues, as the last one left differences.
     sync_peer: Option<SocketAddr>,
     times: TaskTimes,
-    /// The newest version that was passed on.
+    /// The newest manifest version that was passed on.
     newest_manifest: ManifestVersion,
-    /// The last probe into another zone was left unanswered.
+    /// A probe into another zone was not answered, and no other zone has
+    /// answered one since.
     cross_zone_unanswered: bool,
     superseded: bool,
     counts: GossipCounts,
@@ -142,10 +144,10 @@
 }
 
 impl Membership {
-    /// A membership that knows only this instance.
+    /// Creates a membership that knows only this instance.
     ///
-    /// `own` is taken as reachable and not leaving. `seed` drives every random
-    /// choice; the fleet draws it, tests fix it.
+    /// `own` is set to reachable and not leaving. `seed` is the seed of the
+    /// random number generator.
     #[must_use]
     pub fn start(
         settings: MembershipSettings,
@@ -190,17 +192,18 @@
         membership
     }
 
-    /// Sets fixed gossip addresses, tried while no member is known there.
+    /// Sets fixed gossip addresses, which are contacted while no reachable or
+    /// suspected member is known there.
     pub fn set_seeds(&mut self, addresses: &[SocketAddr]) {
         let own = self.own.gossip_address;
         let others = addresses.iter().filter(|address| **address != own);
         self.seeds = others.copied().collect();
     }
 
-    /// Takes the platform's list as candidates to contact.
+    /// Sets the platform's list of instances, whose unknown ones are contacted.
     ///
-    /// An entry that is absent removes nobody; it only lets a member that is
-    /// unreachable for long be forgotten.
+    /// A member that is missing from the list is not removed; it is only
+    /// forgotten sooner once it is unreachable.
     pub fn set_listed(&mut self, listed: &[ListedInstance]) {
         let mut names: Vec<_> = listed.iter().map(|entry| &entry.instance).collect();
         names.sort_unstable();
@@ -213,7 +216,7 @@
         self.candidates = candidates.cloned().collect();
     }
 
-    /// Announces that this instance leaves; it is never taken back in this life.
+    /// Announces that this instance leaves; this incarnation cannot undo it.
     pub fn leave(&mut self, now: ClockTime) -> Vec<MemberEffect> {
         if !self.own.leaving {
             self.own.leaving = true;
@@ -224,7 +227,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Notes the manifest version that this instance has in force; it never falls.
+    /// Sets the manifest version that this instance has applied; lower versions
+    /// are ignored.
     pub fn set_manifest(&mut self, manifest: ManifestVersion) {
         if manifest > self.own.manifest {
             self.own.manifest = manifest;
@@ -233,11 +237,12 @@
         }
     }
 
-    /// Publishes a note.
+    /// Stores a note and passes it on if it is new.
     ///
     /// # Errors
     ///
-    /// Returns an error if the note is too large, of another zone, or one too many.
+    /// Returns an error if the key or value is too large, the note is for another
+    /// zone, or too many notes are stored.
     pub fn publish(&mut self, note: &GossipNote, now: ClockTime) -> Result<(), NoteError> {
         let is_new = self
             .notes
@@ -249,7 +254,7 @@
         Ok(())
     }
 
-    /// The fleet as it is known now.
+    /// Returns a snapshot of the members and notes.
     #[must_use]
     pub fn view(&self) -> MemberView {
         let members = self.directory.entries().iter();
@@ -257,13 +262,13 @@
         MemberView::new(&self.own, others, self.notes.all().map(Arc::clone))
     }
 
-    /// Rises with every change of [`Self::view`].
+    /// Returns a number that rises with every change of [`Self::view`].
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Counters and sizes.
+    /// Returns counters and sizes.
     #[must_use]
     pub fn counts(&self) -> GossipCounts {
         GossipCounts {
@@ -273,12 +278,12 @@
         }
     }
 
-    /// Known members with this instance.
+    /// Number of known members, including this instance.
     fn fleet_size(&self) -> usize {
         self.directory.entries().len() + 1
     }
 
-    /// Takes a record in and passes it on if it is news.
+    /// Merges a record and passes it on if it changed anything.
     fn merge(&mut self, record: &MemberRecord, origin: RumourOrigin, now: ClockTime) {
         if record.instance == self.own.instance {
             self.merge_own(record);
@@ -290,8 +295,8 @@
                 self.revision += 1;
                 self.queue_manifest(record.instance.clone(), record.manifest);
             }
-            // Whoever is new in the fleet learns all members by comparison;
-            // passing them on would only repeat what the others know.
+            // A new instance learns all members by sync. The others know them
+            // already, so it does not pass them on.
             MergeOutcome::Added if origin == RumourOrigin::Sync => {
                 self.emit_change(&record.instance);
             }
@@ -301,7 +306,8 @@
         }
     }
 
-    /// Defends this instance against what others say of it.
+    /// Handles a record of this instance that came from another: a higher
+    /// incarnation supersedes this one, and a suspicion of this one is refuted.
     fn merge_own(&mut self, record: &MemberRecord) {
         if record.incarnation > self.own.incarnation {
             self.superseded = true;
@@ -319,7 +325,7 @@
         }
     }
 
-    /// Records that a member's standing changed, and passes it on.
+    /// Reports a member's change as an effect and queues it to be passed on.
     fn queue_change(&mut self, instance: &InstanceId, origin: RumourOrigin) {
         let Some(record) = self.emit_change(instance) else {
             return;
@@ -374,8 +380,9 @@
         });
     }
 
-    /// Passes on that an instance has a version in force, if that is news of
-    /// the version; who else has it shows in the messages that it sends.
+    /// Passes on that an instance has applied a manifest version, if it is newer
+    /// than all versions passed on before. Further instances with the same version
+    /// need no rumour: each message carries the version of its sender.
     fn queue_manifest(&mut self, instance: InstanceId, manifest: ManifestVersion) {
         if manifest <= self.newest_manifest {
             return;
--- a/crates/guavawell-core/src/instance/membership/receive.rs
+++ b/crates/guavawell-core/src/instance/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What a received message changes and what answers it.
+//! Handling of received messages.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 use crate::instance::record::MemberRecord;
 
 impl Membership {
-    /// Takes in a message that came from `from`.
+    /// Handles a message received from the address `from`.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -156,7 +156,7 @@
         self.send(&target, body, Vec::new(), SendPriority::Urgent, now);
     }
 
-    /// An answer from another zone ends the doubt about other zones.
+    /// Returns to the usual share of cross-zone probes after another zone answered.
     fn record_cross_zone_answer(&mut self, answered: &InstanceId) {
         let entry = self.directory.find(answered);
         if entry.is_some_and(|entry| entry.record.zone != self.own.zone) {
@@ -187,7 +187,7 @@
         self.send(&target, body, Vec::new(), SendPriority::Urgent, now);
     }
 
-    /// Tells the sender what speaks against it, so that it can refute it.
+    /// Sends the sender a record that contradicts its own, so that it can refute it.
     fn send_contradicting_record(
         &mut self,
         target: &SendTarget,
--- a/crates/guavawell-core/src/instance/membership/send.rs
+++ b/crates/guavawell-core/src/instance/membership/send.rs
@@ -1,4 +1,4 @@
-//! Building messages within the datagram's size and the allowance of bytes.
+//! Building messages within the limits of a datagram and of the send allowance.
 
 use std::net::SocketAddr;
 
@@ -19,10 +19,10 @@
 use crate::instance::settings::DATAGRAM_OVERHEAD_BYTES;
 use crate::instance::settings::MAX_MESSAGE_BYTES;
 
-/// Bytes that the count of rumours may take beyond that of an empty list.
+/// Bytes by which the encoded length of a rumour list may exceed that of an empty one.
 const RUMOUR_COUNT_EXTRA_BYTES: usize = 1;
 
-/// A receiver as far as packing a message for it goes.
+/// The receiver of a message.
 #[derive(Clone, Debug)]
 pub(super) struct SendTarget {
     pub(super) address: SocketAddr,
@@ -47,7 +47,8 @@
 }
 
 impl Membership {
-    /// Sends `body` with `first` and as much other news as fits; false if withheld.
+    /// Sends `body` with the rumours `first` and as many queued ones as fit; false
+    /// if the allowance does not suffice.
     pub(super) fn send(
         &mut self,
         target: &SendTarget,
@@ -74,7 +75,8 @@
         true
     }
 
-    /// Charges a finished message and hands it to the driver.
+    /// Drops rumours from the end that exceed `limit`, deducts the message from
+    /// the allowance and passes it to the driver.
     fn emit(&mut self, to: SocketAddr, mut message: GossipMessage, limit: usize) {
         let mut bytes = message.encoded_len();
         while bytes > limit && message.rumours.pop().is_some() {
@@ -87,8 +89,8 @@
         self.effects.push(MemberEffect::Send { to, message });
     }
 
-    /// Charges a datagram of load reports with `payload` bytes, which goes
-    /// beside gossip; false if the allowance is needed for membership.
+    /// Deducts a datagram of load reports with `payload` bytes, which is sent
+    /// outside gossip; false if the rest of the allowance is reserved for gossip.
     #[must_use]
     pub fn charge_report(&mut self, payload: usize, now: ClockTime) -> bool {
         let bytes = payload + DATAGRAM_OVERHEAD_BYTES;
@@ -127,7 +129,7 @@
         message.rumours.extend(rumours);
     }
 
-    /// The news on a topic as it stands now.
+    /// Returns the current content of a topic.
     pub(super) fn rumour(&self, topic: &RumourTopic) -> Option<GossipRumour> {
         match topic {
             RumourTopic::Member(instance) if *instance == self.own.instance => {
@@ -154,7 +156,8 @@
         }
     }
 
-    /// At most `count` different members to gossip with, mostly of this zone.
+    /// Picks at most `count` different members that are not unreachable, mostly of
+    /// this zone.
     pub(super) fn pick_targets(&mut self, count: usize) -> Vec<SendTarget> {
         let zone = &self.own.zone;
         let is_eligible =
@@ -176,7 +179,7 @@
         targets
     }
 
-    /// Tells many at once that this instance leaves.
+    /// Sends this instance's leave announcement to many members at once.
     pub(super) fn send_leave_announcement(&mut self, now: ClockTime) {
         for target in self.pick_targets(self.settings.leave_fanout) {
             self.send(
--- a/crates/guavawell-core/src/instance/membership/sync.rs
+++ b/crates/guavawell-core/src/instance/membership/sync.rs
@@ -1,4 +1,4 @@
-//! Comparison of whole states between two instances, page by page.
+//! State sync between two instances: compares hashes, then exchanges what differs.
 
 use std::net::SocketAddr;
 
@@ -15,14 +15,15 @@
 use crate::instance::record::Reachability;
 use crate::instance::settings::MAX_MESSAGE_BYTES;
 
-/// Candidates tried at once while no member is reachable.
+/// Number of addresses contacted at once while all known members are unreachable.
 const ISOLATED_RECONNECT_TARGETS: usize = 3;
 
-/// Bytes of a message's page left free for its count and body.
+/// Bytes of a page left free for the number of rumours and the message body.
 const PAGE_RESERVED_BYTES: usize = 2 * BUCKETS;
 
 impl Membership {
-    /// Compares the state with a random member, or goes on where a difference was left.
+    /// Syncs with the peer that the last sync left differences with, or else with
+    /// a random member.
     pub(super) fn sync_next(&mut self, now: ClockTime) {
         let target = match self.sync_peer.take() {
             Some(address) => Some(SendTarget::at(address)),
@@ -33,14 +34,15 @@
         }
     }
 
-    /// Compares again soon: with the same member, or with another one, so
-    /// that many new instances do not all wait for one seed's allowance.
+    /// Schedules another sync soon, with the same peer or a random one: if many
+    /// new instances stayed with one seed, all would wait for its send allowance.
     pub(super) fn retry_sync(&mut self, address: SocketAddr, now: ClockTime) {
         self.sync_peer = self.random.bool().then_some(address);
         self.times.sync = now + self.settings.sync_retry;
     }
 
-    /// Tries an unreachable member or a listed stranger; more of them while alone.
+    /// Contacts an unreachable member or an unknown instance from the list or the
+    /// seeds, and several at once while all known members are unreachable.
     pub(super) fn reconnect(&mut self, now: ClockTime) {
         let mut addresses = self.reconnect_addresses();
         let entries = self.directory.entries().iter();
@@ -86,7 +88,8 @@
         self.send(target, body, Vec::new(), SendPriority::Sync, now);
     }
 
-    /// Answers with this side of as many differing buckets as the pages hold.
+    /// Answers a digest with the local records of as many differing buckets as
+    /// the pages hold.
     pub(super) fn handle_digest(
         &mut self,
         target: &SendTarget,
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Sends the records of `buckets`, and the fleet's notes, in bounded pages.
+    /// Sends the records of `buckets`, and the fleet's notes if `notes`, in at
+    /// most [`sync_pages`](crate::instance::MembershipSettings::sync_pages) pages.
     pub(super) fn send_pages(
         &mut self,
         target: &SendTarget,
@@ -166,7 +170,8 @@
         MAX_MESSAGE_BYTES.saturating_sub(empty.encoded_len() + PAGE_RESERVED_BYTES)
     }
 
-    /// Buckets that differ, starting at a random one so that none is starved.
+    /// Returns the buckets that differ, starting at a random one so that none is
+    /// always left for the next sync.
     fn differing_buckets(&mut self, remote: &[u32]) -> Vec<u8> {
         let local = self.directory.digest(&self.own);
         let start = self.random.usize(0..BUCKETS);
@@ -177,7 +182,8 @@
             .collect()
     }
 
-    /// The first of `differing_buckets` whose records fit the pages; at least one.
+    /// Returns the first of `differing_buckets` whose records fit in the pages,
+    /// at least one.
     fn answered_buckets(&self, differing_buckets: &[u8]) -> Vec<u8> {
         let mut room = self.page_room() * self.settings.sync_pages;
         let mut answered_buckets = Vec::new();
@@ -195,7 +201,7 @@
         answered_buckets
     }
 
-    #[allow(clippy::cast_possible_truncation)] // half of the hash serves as well
+    #[allow(clippy::cast_possible_truncation)] // half of the hash suffices
     fn notes_hash(&self) -> u32 {
         let notes = self.notes.fleet_notes();
         notes.fold(0, |hash, note| {
--- a/crates/guavawell-core/src/instance/membership/tick.rs
+++ b/crates/guavawell-core/src/instance/membership/tick.rs
@@ -1,4 +1,4 @@
-//! Periodic tasks: probes, suspicion, gossip, comparison, forgetting.
+//! Periodic tasks: probes, suspicions, gossip, sync and forgetting members.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::instance::record::Reachability;
 
 impl Membership {
-    /// Does what is due; call it every 100 ms or so.
+    /// Runs the tasks that are due; call it about every 100 ms.
     pub fn tick(&mut self, now: ClockTime) -> Vec<MemberEffect> {
         if !self.superseded {
             self.detect_pause(now);
@@ -30,7 +30,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Spreads the first run of each task over its interval.
+    /// Schedules the first run of probes, gossip and sync at a random time within
+    /// their intervals.
     pub(super) fn stagger_first_tasks(&mut self, now: ClockTime) {
         self.times.probe = now + self.random_part_of(self.settings.probe_interval);
         self.times.gossip = now + self.random_part_of(self.settings.gossip_interval);
@@ -41,7 +42,8 @@
         ClockSpan::from_millis(self.random.u64(0..=span.as_millis()))
     }
 
-    /// After a pause of this process, its own silence explains missing answers.
+    /// Drops pending probes and restarts suspicions after a pause of this process:
+    /// answers and refutations may have been missed because it did not read them.
     fn detect_pause(&mut self, now: ClockTime) {
         if now.since(self.times.last_tick) >= self.settings.pause_span {
             self.counts.pauses += 1;
@@ -75,7 +77,8 @@
             if self.queue.is_empty() {
                 return;
             }
-            // A leaving mark must be everywhere within 3 s, also in a flood.
+            // A leave announcement must reach every instance within 3 s, even
+            // while many other rumours are queued.
             let priority = if self.queue.has_leave_announcement() {
                 SendPriority::Sync
             } else {
@@ -171,7 +174,7 @@
         };
         let address = entry.record.gossip_address;
         let count = self.settings.indirect_probes;
-        // One more than needed, as the silent member itself may be among them.
+        // One more than needed, as the unresponsive member itself may be among them.
         let mut helpers = self.pick_targets(count + 1);
         helpers.retain(|helper| helper.address != address);
         helpers.truncate(count);
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Suspects the life that was probed, unless it refuted or ended meanwhile.
+    /// Marks the probed incarnation as suspected if it is still the known one and
+    /// reachable.
     fn suspect(&mut self, probe: &PendingProbe, now: ClockTime) {
         let Some(entry) = self.directory.find(&probe.target) else {
             return;
--- a/crates/guavawell-core/src/instance/message.rs
+++ b/crates/guavawell-core/src/instance/message.rs
@@ -1,4 +1,4 @@
-//! The messages that instances exchange, and their compact encoding.
+//! Gossip messages between instances and their binary encoding.
 
 use std::net::SocketAddr;
 
@@ -12,92 +12,96 @@
 use crate::id::InstanceId;
 use crate::id::ManifestVersion;
 
-/// One message, small enough for one datagram.
+/// A gossip message, sent in one datagram of at most
+/// [`MAX_MESSAGE_BYTES`](super::MAX_MESSAGE_BYTES).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The sender as it sees itself.
+    /// The sender's own record.
     pub sender: MemberRecord,
-    /// What the message is for.
+    /// The request, answer or announcement.
     pub body: MessageBody,
-    /// News that rides along.
+    /// Piggybacked rumours.
     pub rumours: Vec<GossipRumour>,
 }
 
-/// What a message is for.
+/// The kind of a message with its own fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Only carries news.
+    /// Carries rumours only.
     News,
     /// Asks `target` to answer.
     Ping {
-        /// Number of the probe at its sender.
+        /// Probe number, assigned by the sender and repeated in the answer.
         probe: u64,
-        /// The instance that should answer; any other instance stays silent.
+        /// The instance that should answer. Another instance at the same address
+        /// ignores the ping.
         target: InstanceId,
     },
-    /// Answers a ping.
+    /// Answers a ping or a ping request.
     Ack {
-        /// Number of the probe at the receiver.
+        /// Probe number, assigned by the receiver of this answer.
         probe: u64,
-        /// The instance that answered, perhaps through a third one.
+        /// The instance that answered; the answer to a ping request is relayed
+        /// by the instance that received the request.
         target: InstanceId,
-        /// The life that answered.
+        /// The incarnation that answered.
         incarnation: IncarnationId,
     },
     /// Asks the receiver to ping `target` on the sender's behalf.
     PingRequest {
-        /// Number of the probe at the sender.
+        /// Probe number, assigned by the sender.
         probe: u64,
         /// The instance to ping.
         target: InstanceId,
-        /// Where it receives gossip.
+        /// The gossip address of `target`.
         address: SocketAddr,
     },
-    /// Compares the sender's whole state with the receiver's.
+    /// Starts a sync: the receiver compares these hashes with its own state.
     Digest {
-        /// One hash for each bucket of members.
+        /// Hashes of the member records, one for each bucket.
         buckets: Vec<u32>,
-        /// One hash over the notes of the whole fleet.
+        /// Hash of the notes with fleet scope.
         notes: u32,
     },
-    /// Answers a digest that differed, asking for the receiver's side.
+    /// Answers a digest that differs. The sender's differing records follow in
+    /// pages, and the receiver answers with its own.
     Difference {
-        /// The buckets whose records the sender has sent and wants.
+        /// The buckets whose records are exchanged now.
         buckets: Vec<u8>,
-        /// Whether the notes of the whole fleet differed.
+        /// Whether the notes with fleet scope differ.
         notes: bool,
-        /// Whether further buckets differ.
+        /// Whether further buckets differ, which need another sync.
         more: bool,
     },
-    /// One page of records that a comparison asked for.
+    /// One datagram of the records and notes exchanged by a sync.
     Page,
 }
 
-/// One piece of news.
+/// One item of state that is spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipRumour {
-    /// What is known of an instance.
+    /// An instance's record.
     Member(MemberRecord),
     /// A note.
     Note(GossipNote),
-    /// The manifest version that an instance has in force.
+    /// The manifest version that an instance has applied.
     Manifest {
         /// The instance.
         instance: InstanceId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: IncarnationId,
-        /// The version.
+        /// The manifest version.
         manifest: ManifestVersion,
     },
 }
 
-/// Why bytes are not a message.
+/// Error of encoding or decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("not a gossip message of this version: {0}")]
+#[error("cannot encode or decode gossip message: {0}")]
 pub struct MessageError(Box<str>);
 
 impl GossipMessage {
-    /// The message as bytes.
+    /// Encodes the message.
     ///
     /// # Errors
     ///
@@ -106,7 +110,7 @@
         postcard::to_allocvec(self).map_err(|error| MessageError::from_codec(&error))
     }
 
-    /// Reads a message; trailing bytes are an error.
+    /// Decodes a message; trailing bytes are an error.
     ///
     /// # Errors
     ///
@@ -120,7 +124,7 @@
         Err(MessageError("trailing bytes".into()))
     }
 
-    /// Size of the encoding, in bytes.
+    /// Returns the size of the encoding, in bytes.
     #[must_use]
     pub fn encoded_len(&self) -> usize {
         encoded_len(self)
@@ -128,7 +132,7 @@
 }
 
 impl GossipRumour {
-    /// Size of the encoding, in bytes.
+    /// Returns the size of the encoding, in bytes.
     #[must_use]
     pub fn encoded_len(&self) -> usize {
         encoded_len(self)
@@ -141,7 +145,8 @@
     }
 }
 
-/// Size of a value's encoding; a value that cannot be encoded fits nowhere.
+/// Size of a value's encoding. A value that cannot be encoded gets a size that
+/// fits no datagram; half of the maximum lets callers add to it without overflow.
 fn encoded_len<T: Serialize>(value: &T) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(usize::MAX / 2)
 }
--- a/crates/guavawell-core/src/instance/mod.rs
+++ b/crates/guavawell-core/src/instance/mod.rs
@@ -1,8 +1,8 @@
-//! Entry instances: gossip membership, suspicion and leaving marks.
+//! Gossip membership of entry instances: failure detection and announcements.
 //!
-//! Owns what an instance knows of the others and the news that it passes on.
-//! It never says that an instance is gone for good: suspicion steers routing
-//! only, and no grant or claim is released by it.
+//! Holds what an instance knows about the others and the rumours that it
+//! passes on. A member is never declared dead: reachability only affects
+//! routing, and neither suspicion nor unreachability releases a grant or a claim.
 
 mod allowance;
 mod directory;
--- a/crates/guavawell-core/src/instance/note.rs
+++ b/crates/guavawell-core/src/instance/note.rs
@@ -1,4 +1,4 @@
-//! Notes: small versioned values that ride on gossip.
+//! Notes: small versioned key-value pairs that are replicated by gossip.
 
 use std::sync::Arc;
 
@@ -10,35 +10,36 @@
 use crate::clock::ClockTime;
 use crate::id::ZoneId;
 
-/// Longest key of a note, in bytes.
+/// Maximum length of a note's key, in bytes.
 pub const MAX_NOTE_KEY_BYTES: usize = 64;
 
-/// Which instances keep and pass on a note.
+/// Which instances store and pass on a note, and when it expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoteScope {
-    /// Instances of one zone; dropped when not renewed.
+    /// Instances of one zone; expires unless renewed by a newer version.
     Zone(ZoneId),
-    /// Every instance; kept until a newer version comes.
+    /// Every instance, also spread by sync; never expires.
     Fleet,
-    /// Every instance, by gossip alone; dropped when not renewed. For what is
-    /// renewed so often that comparisons would always differ.
+    /// Every instance, spread by gossip only; expires unless renewed by a newer
+    /// version. For notes renewed so often that every sync would find a difference.
     Passing,
 }
 
-/// A small value under a key; the highest version wins.
+/// A small value under a key; the highest version replaces the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipNote {
-    /// The key, at most [`MAX_NOTE_KEY_BYTES`].
+    /// The key, at most [`MAX_NOTE_KEY_BYTES`] long.
     pub key: Box<str>,
-    /// Who keeps it.
+    /// Which instances store it.
     pub scope: NoteScope,
-    /// The version; one writer for each key is expected.
+    /// The version. Each key should have one writer: of two notes with the same
+    /// version the first one stays.
     pub version: u64,
-    /// The value, opaque to gossip.
+    /// The value, which gossip does not interpret.
     pub bytes: Box<[u8]>,
 }
 
-/// Why a note is not taken.
+/// Why a note is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NoteError {
     /// The key is too long.
@@ -49,15 +50,15 @@
     TooLarge {
         /// The note's key.
         key: Box<str>,
-        /// Its size.
+        /// The value's size, in bytes.
         bytes: usize,
-        /// The largest size.
+        /// The maximum size, in bytes.
         limit: usize,
     },
-    /// As many notes as allowed are kept already.
-    #[error("note `{0}` would exceed the number of notes kept")]
+    /// The maximum number of notes is stored already.
+    #[error("note `{0}` exceeds the maximum number of notes")]
     TooMany(Box<str>),
-    /// It belongs to another zone.
+    /// The note is for another zone.
     #[error("note `{0}` belongs to another zone")]
     OtherZone(Box<str>),
 }
@@ -68,14 +69,14 @@
     renewed_at: ClockTime,
 }
 
-/// The notes that one instance keeps, sorted by key.
+/// The notes that one instance stores, sorted by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NoteStore {
     notes: Vec<StoredNote>,
 }
 
 impl NoteStore {
-    /// Takes a note in; `Ok(true)` if it was news.
+    /// Stores a note; `Ok(true)` if it was new or a newer version.
     pub(super) fn apply(
         &mut self,
         note: &GossipNote,
@@ -105,13 +106,14 @@
         }
     }
 
-    /// The note under `key`.
+    /// Returns the note under `key`.
     pub(super) fn find(&self, key: &str) -> Option<&Arc<GossipNote>> {
         let index = self.position(key).ok()?;
         Some(&self.notes[index].note)
     }
 
-    /// Drops notes that were not renewed, but for those of the fleet; true if any went.
+    /// Drops notes that were not renewed in time, except those with fleet scope;
+    /// true if any was dropped.
     pub(super) fn expire(&mut self, settings: &MembershipSettings, now: ClockTime) -> bool {
         let before = self.notes.len();
         self.notes.retain(|stored| {
@@ -121,12 +123,12 @@
         before != self.notes.len()
     }
 
-    /// All notes, sorted by key.
+    /// Returns all notes, sorted by key.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
         self.notes.iter().map(|stored| &stored.note)
     }
 
-    /// The notes that every instance keeps.
+    /// Returns the notes with fleet scope.
     pub(super) fn fleet_notes(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
         self.all().filter(|note| note.scope == NoteScope::Fleet)
     }
--- a/crates/guavawell-core/src/instance/owner.rs
+++ b/crates/guavawell-core/src/instance/owner.rs
@@ -1,13 +1,14 @@
-//! Rendezvous hashing: every instance picks the same owner for a key.
+//! Rendezvous hashing: instances with the same members pick the same owner for a key.
 
 use crate::id::InstanceId;
 
-/// The instance that owns `key` among `members`, or `None` without members.
+/// Returns the owner of `key` among `members`, or `None` without members.
 ///
-/// When a member joins or goes, only the keys that it gains or owned move.
-/// Slots, witnesses and the polling of backend servers are spread by this.
-/// Two instances with different views may name different owners: an owner has
-/// no right by that alone; rights come from the platform's table.
+/// When a member joins or leaves, only the keys that it gains or owned change
+/// their owner. Slots, witnesses and the polling of backend servers are
+/// distributed this way. Instances with different views may pick different
+/// owners, so ownership grants no rights: those come from the tables in the
+/// platform's store.
 pub fn owner<'a>(
     members: impl IntoIterator<Item = &'a InstanceId>,
     key: &[u8],
@@ -17,7 +18,7 @@
         .max_by_key(|member| (weight(member, key), *member))
 }
 
-/// All members, the best owner of `key` first.
+/// Returns all members in the order of preference for `key`, the owner first.
 pub fn owners<'a>(
     members: impl IntoIterator<Item = &'a InstanceId>,
     key: &[u8],
@@ -27,8 +28,8 @@
     ranked
 }
 
-/// The place of `own` among `members` in the order of [`owners`], or `None`
-/// where it is not one of them.
+/// Returns the index of `own` in the order of [`owners`], or `None` if it is
+/// not among `members`.
 pub fn rank<'a>(
     members: impl IntoIterator<Item = &'a InstanceId>,
     own: &InstanceId,
@@ -49,18 +50,21 @@
     mix(fnv1a(mix(seed), key))
 }
 
-/// Offset basis of FNV-1a with 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 pub(super) const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a from `seed`: the same on every machine and in every version.
+/// 64-bit FNV-1a hash that starts from `seed`.
+///
+/// Instances compare these hashes with each other, so they must be the same on
+/// every machine and in every version.
 pub(super) fn fnv1a(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(seed, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// The finalizer of `SplitMix64`, which spreads each input bit over the output.
+/// The finalizer of `SplitMix64`, by which each input bit affects all output bits.
 pub(super) const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/guavawell-core/src/instance/probe.rs
+++ b/crates/guavawell-core/src/instance/probe.rs
@@ -1,4 +1,4 @@
-//! Which member is probed next, and the probes that wait for an answer.
+//! Order in which members are probed, and the probes that await an answer.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 /// On whose behalf a probe was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeOrigin {
-    /// This instance's own probe.
+    /// This instance sent it to check the target.
     Own {
-        /// Whether others were already asked to probe as well.
+        /// Whether other members were already asked to probe the target.
         indirect: bool,
     },
-    /// Another instance asked for it.
+    /// Sent at the request of another instance.
     Relayed {
-        /// Where the answer goes.
+        /// Address to which the answer is relayed.
         requester: SocketAddr,
-        /// Number of the probe at the requester.
+        /// Probe number assigned by the requester.
         probe: u64,
     },
 }
 
-/// A probe that waits for an answer.
+/// A probe that awaits an answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProbe {
     pub(super) number: u64,
@@ -40,7 +40,8 @@
 }
 
 impl ProbeRound {
-    /// The next member that still `is_eligible`, starting a new round where this one ended.
+    /// Returns the next member that satisfies `is_eligible`; at the end of a
+    /// round, starts a new one with the members from `refill`.
     pub(super) fn next(
         &mut self,
         is_eligible: impl Fn(&InstanceId) -> bool,
@@ -56,7 +57,7 @@
     }
 }
 
-/// The probes of one instance.
+/// Probe rounds and pending probes of one instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeTracker {
     pub(super) in_zone: ProbeRound,
@@ -66,7 +67,7 @@
 }
 
 impl ProbeTracker {
-    /// Notes a probe and gives its number.
+    /// Records a probe and returns its number.
     pub(super) fn register(
         &mut self,
         target: InstanceId,
@@ -85,7 +86,8 @@
         self.last_number
     }
 
-    /// Closes the probe that an answer belongs to; a former life's answer counts for nothing.
+    /// Removes and returns the probe that an answer matches. Answers from an
+    /// older incarnation than the probed one are ignored.
     pub(super) fn complete(
         &mut self,
         number: u64,
@@ -98,7 +100,8 @@
         Some(self.pending.swap_remove(index))
     }
 
-    /// Own probes older than `before` for which nobody else was asked yet, now marked as asked.
+    /// Returns own probes that satisfy `is_timed_out` and were not tried through
+    /// other members yet, and marks them as tried.
     pub(super) fn take_timed_out(
         &mut self,
         is_timed_out: impl Fn(ClockTime) -> bool,
@@ -114,7 +117,7 @@
         timed_out
     }
 
-    /// Removes probes whose time is over.
+    /// Removes and returns the probes that satisfy `has_expired`.
     pub(super) fn take_expired(
         &mut self,
         has_expired: impl Fn(ClockTime) -> bool,
@@ -130,7 +133,7 @@
         expired
     }
 
-    /// Drops all probes, after this process itself was paused.
+    /// Drops all pending probes.
     pub(super) fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/guavawell-core/src/instance/queue.rs
+++ b/crates/guavawell-core/src/instance/queue.rs
@@ -1,76 +1,77 @@
-//! News waiting to be passed on, the least often sent first.
+//! Queue of rumours to pass on, ordered by class and number of sends.
 
 use crate::id::InstanceId;
 
-/// What a queued piece of news is about; later news replaces earlier.
+/// The subject of a queued rumour; a newer rumour replaces an older one on the
+/// same topic.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RumourTopic {
-    /// An instance's standing.
+    /// An instance's record.
     Member(InstanceId),
-    /// A note.
+    /// The note under a key.
     Note(Box<str>),
-    /// The manifest version that an instance has in force.
+    /// The manifest version that an instance has applied.
     Manifest(InstanceId),
 }
 
-/// Order of kinds of news when room is short.
+/// Class of a rumour; an earlier class goes first when a datagram has little room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RumourClass {
-    /// An instance leaves.
+    /// A leave announcement.
     Leaving,
-    /// An instance's standing changed.
+    /// Another change of an instance's record.
     Member,
     /// A note.
     Note,
-    /// A manifest version in force.
+    /// An applied manifest version.
     Manifest,
 }
 
-/// One queued piece of news.
+/// A queued rumour; its content is looked up when it is sent.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedRumour {
     pub(super) topic: RumourTopic,
     pub(super) class: RumourClass,
-    /// Size of its encoding, in bytes.
+    /// Size of its encoding when it was queued, in bytes.
     pub(super) bytes: usize,
-    /// How often it was sent.
+    /// How often it has been sent.
     pub(super) sends: u32,
 }
 
-/// The queue; at most one entry for each topic.
+/// The queue, with at most one entry for each topic.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RumourQueue {
-    /// Sorted by class, then by times sent.
+    /// Sorted by class, then by number of sends.
     rumours: Vec<QueuedRumour>,
 }
 
 impl RumourQueue {
-    /// Queues news, in place of earlier news on the topic.
+    /// Queues a rumour, replacing any on the same topic.
     pub(super) fn push(&mut self, rumour: QueuedRumour) {
         self.rumours.retain(|queued| queued.topic != rumour.topic);
         self.insert(rumour);
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.rumours.is_empty()
     }
 
-    /// Whether a leaving mark waits; it is first in the order.
+    /// Whether a leave announcement is queued; these are sorted first.
     pub(super) fn has_leave_announcement(&self) -> bool {
         let first = self.rumours.first();
         first.is_some_and(|queued| queued.class == RumourClass::Leaving)
     }
 
-    /// How many pieces of news wait.
+    /// Returns the number of queued rumours.
     pub(super) fn len(&self) -> usize {
         self.rumours.len()
     }
 
-    /// Takes topics worth at most `room` bytes and counts them as sent.
+    /// Picks topics that fit in `room` bytes and counts them as sent.
     ///
-    /// `limit` gives how often news of a class is sent before it is dropped;
-    /// `fits` says whether the receiver wants the topic.
+    /// `limit` gives how often rumours of a class are sent before they are
+    /// dropped; `fits` says whether a topic may be sent to the receiver.
     pub(super) fn pack(
         &mut self,
         mut room: usize,
--- a/crates/guavawell-core/src/instance/record.rs
+++ b/crates/guavawell-core/src/instance/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one instance, and which of two pieces of news wins.
+//! Member records and the rules by which they are merged.
 
 use std::net::SocketAddr;
 
@@ -13,51 +13,52 @@
 
 /// Whether an instance answers probes, as far as gossip knows.
 ///
-/// This steers routing only. An unreachable instance may be running, may hold
-/// slots and may spend: nothing here releases a grant or a claim.
+/// This only affects routing. An unreachable instance may still be running,
+/// hold slots and spend tokens, so no grant or claim is released because of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reachability {
     /// It answers probes.
     Reachable,
-    /// It did not answer a probe and has not refuted that yet.
+    /// It did not answer a probe and has not refuted the suspicion yet.
     Suspected,
     /// It did not refute the suspicion in time.
     Unreachable,
 }
 
-/// What the fleet knows of one instance.
+/// What the fleet knows about one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life; of two lives the higher is the later.
+    /// Its incarnation, which is higher after each restart.
     pub incarnation: IncarnationId,
-    /// How often this life has refuted a suspicion.
+    /// How often this incarnation has refuted a suspicion.
     pub refutation: u32,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where other routers reach it.
+    /// Address for other routers.
     pub peer_address: SocketAddr,
-    /// Where gossip reaches it.
+    /// Address for gossip datagrams.
     pub gossip_address: SocketAddr,
     /// Whether it answers probes.
     pub reachability: Reachability,
-    /// Whether this life has announced that it leaves; never taken back.
+    /// Whether this incarnation has announced that it leaves; never reset.
     pub leaving: bool,
-    /// The manifest version that it has in force.
+    /// The manifest version that it has applied.
     pub manifest: ManifestVersion,
 }
 
 impl MemberRecord {
-    /// Whether new work may be sent to it.
+    /// Whether new work may be sent to the instance.
     #[must_use]
     pub fn is_routable(&self) -> bool {
         self.reachability == Reachability::Reachable && !self.leaving
     }
 
-    /// Whether `other`, of the same instance, brings news beside the manifest version.
+    /// Whether `other`, a record of the same instance, is newer in anything but
+    /// the manifest version.
     #[must_use]
     pub fn is_outdated_by(&self, other: &Self) -> bool {
         if self.incarnation != other.incarnation {
@@ -67,9 +68,9 @@
         newly_leaving || other.status() > self.status()
     }
 
-    /// Takes over what `other`, of the same instance, knows better.
+    /// Merges whatever is newer in `other`, a record of the same instance.
     ///
-    /// The result does not depend on the order in which records arrive.
+    /// The result does not depend on the order in which records are merged.
     pub fn merge(&mut self, other: &Self) {
         if other.incarnation > self.incarnation {
             *self = other.clone();
@@ -86,16 +87,18 @@
         self.manifest = self.manifest.max(other.manifest);
     }
 
-    /// Order of two records of one life: a refutation beats an earlier suspicion.
+    /// Sort key of records of one incarnation: a refutation overrides the
+    /// suspicions before it, and a worse reachability overrides a better one.
     fn status(&self) -> (u32, Reachability) {
         (self.refutation, self.reachability)
     }
 }
 
-/// Draws the incarnation of a life that starts `now`.
+/// Generates the incarnation of a process that starts `now`.
 ///
-/// The start time fills the upper bits, so that a later life is higher unless
-/// the clock was set back; peers then report [`super::MemberEffect::Superseded`].
+/// The start time fills the upper bits, so that an incarnation is higher than
+/// those before it unless the clock was set back. In that case the process
+/// learns of the higher one and reports [`super::MemberEffect::Superseded`].
 #[must_use]
 pub fn draw_incarnation(now: ClockTime, random: u64) -> IncarnationId {
     const RANDOM_BITS: u32 = 20;
--- a/crates/guavawell-core/src/instance/settings.rs
+++ b/crates/guavawell-core/src/instance/settings.rs
@@ -1,72 +1,79 @@
-//! Settings of the gossip membership.
+//! Settings of gossip membership.
 
 use crate::clock::ClockSpan;
 
-/// Bytes that IPv4, UDP, key number and authentication code add to each datagram.
+/// Bytes added to each message: 28 for the IPv4 and UDP headers, 17 for the key
+/// number and the authentication code.
 pub const DATAGRAM_OVERHEAD_BYTES: usize = 28 + 17;
 
-/// Largest encoded message, so that a datagram stays under 1,400 bytes.
+/// Maximum size of an encoded message, so that no datagram exceeds 1,400 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1_400 - DATAGRAM_OVERHEAD_BYTES;
 
-/// Intervals, limits and shares of one instance's membership.
+/// Intervals and limits of one instance's membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// Time between two probes.
     pub probe_interval: ClockSpan,
-    /// Time after which an unanswered probe is also tried through others.
+    /// Time after which an unanswered probe is also tried through other members.
     pub probe_timeout: ClockSpan,
-    /// How many others are asked to probe an instance that did not answer.
+    /// Number of members asked to probe an instance that did not answer.
     pub indirect_probes: usize,
-    /// Least time between suspicion and unreachability, multiplied by log10 of the fleet's size.
+    /// Minimum time from suspicion to unreachability, multiplied by the number of
+    /// decimal digits of the fleet's size.
     pub suspicion_span: ClockSpan,
-    /// Time between two rounds of gossip, while there is news.
+    /// Time between two rounds of gossip while rumours are queued.
     pub gossip_interval: ClockSpan,
-    /// Targets of one round of gossip.
+    /// Number of targets of one round of gossip.
     pub gossip_fanout: usize,
-    /// Targets told at once when this instance announces that it leaves.
+    /// Number of targets that a leave announcement is sent to at once.
     pub leave_fanout: usize,
-    /// Time between two comparisons of the whole state with a peer.
+    /// Time between two syncs of the whole state with a peer.
     pub sync_interval: ClockSpan,
-    /// The same, while the last comparison left a difference.
+    /// Time until the next sync if the last one left differences.
     pub sync_retry: ClockSpan,
-    /// Largest number of datagrams that answer one comparison.
+    /// Maximum number of pages that each side sends in one sync.
     pub sync_pages: usize,
-    /// Time between two attempts to reach an unreachable or newly listed instance.
+    /// Time between two attempts to reach unreachable or unknown instances.
     pub reconnect_interval: ClockSpan,
-    /// Percentage of probes, gossip and comparisons that leave the zone.
+    /// Percentage of probes, gossip and syncs sent to other zones.
     pub cross_zone_percent: u8,
-    /// The same for probes, once a probe into another zone was left unanswered.
+    /// The same for probes, after a probe into another zone was not answered and
+    /// until another zone answers.
     pub degraded_cross_zone_percent: u8,
-    /// Bytes a second that this instance may send, datagram headers included.
+    /// Bytes per second that this instance may send, including datagram headers.
     pub bytes_per_second: u64,
-    /// Bytes that may be sent at once after a quiet time.
+    /// Maximum number of bytes that may be sent at once after an idle time.
     pub burst_bytes: u64,
-    /// A gap between two ticks that shows that this process itself was paused.
+    /// Time between two ticks from which this process is taken to have been paused.
     pub pause_span: ClockSpan,
-    /// Time after which an unreachable instance that the list does not name is forgotten.
+    /// Time after which an unreachable instance is forgotten if the platform's
+    /// list does not contain it.
     pub forget_delisted_span: ClockSpan,
-    /// The same, where no list was ever read or the list still names it.
+    /// The same if the list contains it, or if no list was ever received.
     pub forget_listed_span: ClockSpan,
-    /// Most unreachable instances kept; the longest unreachable goes first.
+    /// Maximum number of unreachable instances kept; the one that has been
+    /// unreachable for longest is forgotten first.
     pub max_unreachable: usize,
-    /// Most forgotten lives remembered as a hash, so that they are not taken in again.
+    /// Maximum number of tombstones, which keep forgotten instances from being
+    /// added again; the oldest is dropped first.
     pub max_tombstones: usize,
-    /// How often a member's change is passed on, multiplied by log10 of the fleet's size.
+    /// How often a member's change is passed on, multiplied by the number of
+    /// decimal digits of the fleet's size.
     pub member_sends: u32,
-    /// How often a leaving mark is passed on, multiplied in the same way.
+    /// How often a leave announcement is passed on, multiplied in the same way.
     ///
-    /// Higher, because the mark must miss nobody within 3 s, while other
-    /// changes that missed someone wait for the next comparison.
+    /// Higher than for other changes, because the announcement must reach every
+    /// instance within 3 s; other changes can wait for the next sync.
     pub leave_sends: u32,
     /// How often a note is passed on.
     pub note_sends: u32,
     /// How often a new manifest version is passed on, multiplied in the same way.
     pub manifest_sends: u32,
-    /// Largest note, in bytes.
+    /// Maximum size of a note's value, in bytes.
     pub max_note_bytes: usize,
-    /// Most notes kept.
+    /// Maximum number of notes stored.
     pub max_notes: usize,
-    /// Time after which a zone's note that was not renewed is dropped.
+    /// Time after which a note without fleet scope expires unless renewed.
     pub note_lifetime: ClockSpan,
 }
 
@@ -105,25 +112,25 @@
 }
 
 impl MembershipSettings {
-    /// How often a leaving mark is passed on in a fleet of `members`.
+    /// Returns how often a leave announcement is passed on in a fleet of `members`.
     #[must_use]
     pub fn leave_sends_at(&self, members: usize) -> u32 {
         self.leave_sends * log10_rounded_up(members)
     }
 
-    /// How often a new manifest version is passed on in a fleet of `members`.
+    /// Returns how often a new manifest version is passed on in a fleet of `members`.
     #[must_use]
     pub fn manifest_sends_at(&self, members: usize) -> u32 {
         self.manifest_sends * log10_rounded_up(members)
     }
 
-    /// How often a change is passed on in a fleet of `members`.
+    /// Returns how often a member's change is passed on in a fleet of `members`.
     #[must_use]
     pub fn member_sends_at(&self, members: usize) -> u32 {
         self.member_sends * log10_rounded_up(members)
     }
 
-    /// Time from suspicion to unreachability in a fleet of `members`.
+    /// Returns the time from suspicion to unreachability in a fleet of `members`.
     #[must_use]
     pub fn suspicion_span_at(&self, members: usize) -> ClockSpan {
         let factor = u64::from(log10_rounded_up(members));
@@ -131,7 +138,7 @@
     }
 }
 
-/// The decimal digits of `members`: log10 rounded up, at least 1.
+/// Number of decimal digits of `members`, at least 1.
 fn log10_rounded_up(members: usize) -> u32 {
     members.max(1).ilog10() + 1
 }
--- a/crates/guavawell-core/src/instance/view.rs
+++ b/crates/guavawell-core/src/instance/view.rs
@@ -1,4 +1,4 @@
-//! What one instance sees of the fleet at one moment.
+//! Snapshot of the fleet as one instance knows it.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use crate::id::InstanceId;
 use crate::id::ZoneId;
 
-/// An immutable picture of the fleet, for routing and for operators.
+/// An immutable snapshot of the members and notes, for routing and for operators.
 ///
-/// It holds no verdict that an instance is gone for good: a grant or a claim
-/// may end only through the platform's table.
+/// It never says that an instance is dead: a grant or a claim may end only
+/// through the tables in the platform's store.
 #[derive(Clone, Debug)]
 pub struct MemberView {
     own: Arc<MemberRecord>,
-    /// All members with this instance, sorted by id.
+    /// All members including this instance, sorted by id.
     members: Box<[Arc<MemberRecord>]>,
     /// All notes, sorted by key.
     notes: Box<[Arc<GossipNote>]>,
@@ -37,30 +37,31 @@
         }
     }
 
-    /// This instance.
+    /// Returns this instance's own record.
     #[must_use]
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Every known member with this instance, sorted by id.
+    /// Returns every known member including this instance, sorted by id.
     #[must_use]
     pub fn members(&self) -> &[Arc<MemberRecord>] {
         &self.members
     }
 
-    /// Members that new work may be sent to, with this instance unless it leaves.
+    /// Returns the members that new work may be sent to, including this instance
+    /// unless it is leaving.
     pub fn routable(&self) -> impl Iterator<Item = &MemberRecord> {
         let members = self.members.iter().map(|member| &**member);
         members.filter(|member| member.is_routable())
     }
 
-    /// The routable members of one zone.
+    /// Returns the routable members of one zone.
     pub fn routable_in<'a>(&'a self, zone: &'a ZoneId) -> impl Iterator<Item = &'a MemberRecord> {
         self.routable().filter(move |member| member.zone == *zone)
     }
 
-    /// The member, if known.
+    /// Returns the member's record, if it is known.
     #[must_use]
     pub fn find(&self, instance: &InstanceId) -> Option<&MemberRecord> {
         let index = self
@@ -70,20 +71,20 @@
         Some(&self.members[index])
     }
 
-    /// The routable member of `zone` that rendezvous hashing picks for `key`.
+    /// Returns the routable member of `zone` that rendezvous hashing picks for `key`.
     #[must_use]
     pub fn owner_in(&self, zone: &ZoneId, key: &[u8]) -> Option<&MemberRecord> {
         let members = self.routable_in(zone).map(|member| &member.instance);
         self.find(owner(members, key)?)
     }
 
-    /// All notes, sorted by key.
+    /// Returns all notes, sorted by key.
     #[must_use]
     pub fn notes(&self) -> &[Arc<GossipNote>] {
         &self.notes
     }
 
-    /// The note under `key`.
+    /// Returns the note under `key`, if there is one.
     #[must_use]
     pub fn note(&self, key: &str) -> Option<&GossipNote> {
         let index = self
--- a/crates/guavawell-core/tests/membership/bound.rs
+++ b/crates/guavawell-core/tests/membership/bound.rs
@@ -1,4 +1,4 @@
-//! Bounds on bytes, memory and notes.
+//! Limits on sent bytes, stored members and tombstones, and notes.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::instance::GossipNote;
@@ -25,7 +25,7 @@
     view.find(&instance(number)).is_some()
 }
 
-/// Has every node publish a large note for the whole fleet.
+/// Has every node publish a large note with fleet scope.
 fn flood(pump: &mut MessagePump, version: u64) {
     let now = pump.now;
     for (index, node) in pump.nodes.iter_mut().enumerate() {
@@ -69,7 +69,7 @@
             pump.now
         );
     }
-    assert!(left_at.expect("the mark passed") <= 230);
+    assert!(left_at.expect("the leave announcement spread") <= 230);
     let withheld: u64 = pump
         .nodes
         .iter()
@@ -87,7 +87,7 @@
     }
     pump.list_all();
     assert!(pump.run_until(300, MessagePump::is_converged));
-    // Instance 7 is paused with the old record of instance 3 in its memory.
+    // Instance 7 is paused while it still has the record of instance 3.
     pump.nodes[7].paused = true;
     pump.nodes[3].running = false;
     pump.list_all();
@@ -98,9 +98,9 @@
     pump.nodes[7].paused = false;
     for _ in 0..100 {
         pump.step();
-        assert!(forgotten(&pump), "taken in again at {}", pump.now);
+        assert!(forgotten(&pump), "readmitted at {}", pump.now);
     }
-    // A later life is another matter.
+    // A later incarnation is admitted.
     pump.add(3);
     pump.list_all();
     assert!(pump.run_until(600, MessagePump::is_converged));
@@ -157,7 +157,7 @@
         })
     };
     assert!(pump.run_until(300, spread));
-    // A newcomer learns the fleet's notes by comparison.
+    // A new instance learns notes with fleet scope by sync.
     pump.add(12);
     pump.list_all();
     let learned = |pump: &MessagePump| {
@@ -165,7 +165,7 @@
         view.note("manifest") == Some(&version)
     };
     assert!(pump.run_until(300, learned));
-    // A zone's note that nobody renews goes after a minute.
+    // A note with zone scope that is not renewed expires after a minute.
     let gone = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
         views.all(|view| view.note("load/0").is_none())
--- a/crates/guavawell-core/tests/membership/failure.rs
+++ b/crates/guavawell-core/tests/membership/failure.rs
@@ -1,4 +1,4 @@
-//! Each failure brought about over real state machines.
+//! Single failures, played on the membership state machines over a simulated network.
 
 use guavawell_core::instance::Reachability;
 
@@ -9,7 +9,7 @@
 use crate::pump::own_id;
 use crate::pump::routable;
 
-/// Steps within which a leaving mark must be everywhere: 3 s.
+/// Steps within which a leave announcement must reach every instance: 3 s.
 const LEAVE_ANNOUNCEMENT_STEPS: usize = 30;
 
 fn knows_unreachable(node: &PumpNode, number: usize) -> bool {
--- a/crates/guavawell-core/tests/membership/main.rs
+++ b/crates/guavawell-core/tests/membership/main.rs
@@ -1,4 +1,4 @@
-//! Membership under the failures that it is meant for.
+//! Gossip membership of simulated instances under failures, floods and message loss.
 
 mod bound;
 mod failure;
--- a/crates/guavawell-core/tests/membership/property.rs
+++ b/crates/guavawell-core/tests/membership/property.rs
@@ -1,4 +1,4 @@
-//! What holds under any sequence of faults, over fixed seeds.
+//! Properties under random sequences of faults, drawn from fixed seeds.
 
 use guavawell_core::id::IncarnationId;
 use guavawell_core::id::InstanceId;
@@ -6,23 +6,24 @@
 use crate::pump::MessagePump;
 use crate::pump::own_id;
 
-/// Sequences of faults that are tried.
+/// Number of fault sequences, each drawn from its own seed.
 const SEED_COUNT: u64 = 24;
 
-/// Faults in one sequence.
+/// Number of faults in one sequence.
 const FAULTS_PER_SEED: usize = 12;
 
-/// Steps within which a healed fleet must agree: 120 s.
+/// Steps within which all views must agree after all faults end: 120 s.
 const HEALING_STEPS: usize = 1_200;
 
-/// The highest life of each instance that each life of an observer has seen.
+/// The highest incarnation of each member that each observing incarnation has
+/// shown in its view.
 #[derive(Default)]
 struct SeenIncarnations {
     incarnations: Vec<(InstanceId, IncarnationId, InstanceId, IncarnationId)>,
 }
 
 impl SeenIncarnations {
-    /// Fails if an observer shows an older life than it did before.
+    /// Fails if a view shows an older incarnation than it did before.
     fn check(&mut self, pump: &MessagePump) {
         for node in &pump.nodes {
             let view = node.membership.view();
@@ -44,7 +45,10 @@
         match position {
             Ok(index) => {
                 let highest = &mut self.incarnations[index].3;
-                assert!(seen.1 >= *highest, "{observer:?} went back on {seen:?}");
+                assert!(
+                    seen.1 >= *highest,
+                    "{observer:?} returned to the older incarnation {seen:?}"
+                );
                 *highest = seen.1;
             }
             Err(index) => {
@@ -115,6 +119,6 @@
             steps += 1;
         }
         let ids: Vec<_> = pump.live().map(own_id).collect();
-        assert!(!ids.is_empty(), "seed {seed} left nobody");
+        assert!(!ids.is_empty(), "no live instances with seed {seed}");
     }
 }
--- a/crates/guavawell-core/tests/membership/pump.rs
+++ b/crates/guavawell-core/tests/membership/pump.rs
@@ -1,4 +1,4 @@
-//! A message pump over real membership state machines: one queue, own clock.
+//! Simulated network of membership state machines: one message queue, one clock.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -22,19 +22,20 @@
 /// Time between two steps.
 pub const STEP: ClockSpan = ClockSpan::from_millis(100);
 
-/// One instance in the pump.
+/// One simulated instance.
 pub struct PumpNode {
     pub membership: Membership,
     pub address: SocketAddr,
     pub running: bool,
     pub paused: bool,
-    /// Nodes talk only within one group.
+    /// Messages are delivered only between nodes of the same partition.
     pub partition: u8,
     pub superseded: bool,
+    /// Messages received while paused, handled when the node resumes.
     held_messages: Vec<(SocketAddr, GossipMessage)>,
 }
 
-/// The instances and the messages between them.
+/// The simulated instances and the messages between them.
 pub struct MessagePump {
     pub now: ClockTime,
     pub nodes: Vec<PumpNode>,
@@ -47,7 +48,7 @@
 }
 
 impl MessagePump {
-    /// An empty pump whose nodes will be spread over `zones`.
+    /// Creates a pump without nodes; added ones are distributed over `zones` zones.
     pub fn new(zones: usize, seed: u64) -> Self {
         Self {
             now: ClockTime::from_millis(1_000_000),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A pump with `count` nodes that have found each other.
+    /// Creates a pump with `count` nodes that all know each other.
     pub fn converged(count: usize, zones: usize, seed: u64) -> Self {
         let mut pump = Self::new(zones, seed);
         for number in 0..count {
@@ -74,12 +75,13 @@
         pump
     }
 
-    /// Starts instance `number` at its own address, replacing a former life.
+    /// Starts instance `number` at its own address, replacing any node there.
     pub fn add(&mut self, number: usize) -> usize {
         self.add_as(number, number)
     }
 
-    /// Starts instance `number` at the address of instance `address_number`.
+    /// Starts instance `number` at the address of instance `address_number`,
+    /// replacing any node there; returns its index.
     pub fn add_as(&mut self, number: usize, address_number: usize) -> usize {
         let record = self.record(number, address_number);
         let address = record.gossip_address;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Gives every running node the true list.
+    /// Gives every node the list of the running nodes.
     pub fn list_all(&mut self) {
         let running = self.nodes.iter().filter(|node| node.running);
         let listed: Vec<_> = running.map(listed).collect();
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Ticks every node once and delivers everything that follows.
+    /// Advances the time, ticks every node that runs and is not paused, and
+    /// delivers all messages that follow.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         for index in 0..self.nodes.len() {
@@ -147,7 +150,7 @@
         self.deliver();
     }
 
-    /// Steps until `done`, at most `limit` times; false if that was not enough.
+    /// Steps until `done`, at most `limit` times; false if it is still not done.
     pub fn run_until(&mut self, limit: usize, done: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..limit {
             if done(self) {
@@ -164,14 +167,14 @@
         self.apply_effects(index, effects);
     }
 
-    /// Whether every running node can route to exactly the running nodes.
+    /// Whether every live node routes to exactly the live nodes.
     pub fn is_converged(&self) -> bool {
         let mut expected: Vec<_> = self.live().map(own_id).collect();
         expected.sort();
         self.live().all(|node| routable(node) == expected)
     }
 
-    /// Nodes that run, are not paused and do not leave.
+    /// Nodes that run, are not paused and are not leaving.
     pub fn live(&self) -> impl Iterator<Item = &PumpNode> {
         let running = self
             .nodes
--- a/crates/guavawell-core/tests/membership/report.rs
+++ b/crates/guavawell-core/tests/membership/report.rs
@@ -1,4 +1,5 @@
-//! Load reports and passing notes beside membership's own news.
+//! Load reports and notes with passing scope, which share the send allowance with
+//! membership.
 
 use guavawell_core::id::ManifestVersion;
 use guavawell_core::instance::GossipNote;
@@ -8,7 +9,7 @@
 use crate::pump::MessagePump;
 use crate::pump::PumpNode;
 
-/// Payload of one datagram of load reports, more than routers send.
+/// Payload of one datagram of load reports, in bytes; larger than routers send.
 const REPORT_BYTES: usize = 400;
 
 fn passing(key: &str, version: u64, size: usize) -> GossipNote {
@@ -24,7 +25,7 @@
     node.membership.view().members().len() == count
 }
 
-/// Has every node send as many load reports as it may, and renew a note.
+/// Has every node send as many load reports as its allowance permits and renew a note.
 fn flood(pump: &mut MessagePump, version: u64) {
     let now = pump.now;
     for (index, node) in pump.nodes.iter_mut().enumerate() {
@@ -67,7 +68,7 @@
         assert!(counts.bytes_sent - before <= allowed, "bytes stay bounded");
         assert!(counts.reports_withheld > 0, "the flood was too small");
     }
-    // Probes and their answers were never given up for reports.
+    // The reports did not displace probes and their answers.
     assert!(pump.nodes.iter().all(|node| {
         let view = node.membership.view();
         view.routable().count() == view.members().len()
@@ -90,7 +91,8 @@
     first
         .publish(&passing("room/a", 1, 100), now)
         .expect("taken");
-    // Renewals replace what a lost datagram left out; a late one changes nothing.
+    // A later version reaches the nodes that missed one by message loss; an older
+    // version is ignored.
     let mut version = 1;
     while !has(&pump, version) {
         for _ in 0..50 {
@@ -108,7 +110,7 @@
         for _ in 0..20 {
             pump.step();
         }
-        assert!(version < 10, "never reached everyone");
+        assert!(version < 10, "did not reach every node");
     }
     let gone = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
@@ -144,7 +146,7 @@
     };
     let sent_before = sent(&pump);
     assert!(pump.run_until(30, learned), "not known after 3 s");
-    // All the others have it in force now, and say so only by themselves.
+    // The others apply it too, which must not cause further rumours.
     for node in &mut pump.nodes {
         node.membership.set_manifest(version);
     }
--- a/crates/guavawell-core/tests/membership/value.rs
+++ b/crates/guavawell-core/tests/membership/value.rs
@@ -1,4 +1,4 @@
-//! Records, messages and rendezvous hashing as values.
+//! Merging of records, encoding of messages and rendezvous hashing.
 
 use std::net::SocketAddr;
 
