--- a/crates/guavawell-core/tests/membership/bound.rs
+++ b/crates/guavawell-core/tests/membership/bound.rs
@@ -131,13 +131,13 @@
     for node in &mut pump.nodes[4..] {
         node.running = false;
     }
-    let few = |pump: &MessagePump| {
+    let within_limits = |pump: &MessagePump| {
         pump.live().all(|node| {
             let view = node.membership.view();
             view.members().len() == 4 + 3 && node.membership.counts().tombstones == 2
         })
     };
-    assert!(pump.run_until(1_000, few));
+    assert!(pump.run_until(1_000, within_limits));
 }
 
 #[test]
@@ -166,11 +166,11 @@
     };
     assert!(pump.run_until(300, learned));
     // A note with zone scope that is not renewed expires after a minute.
-    let gone = |pump: &MessagePump| {
+    let expired = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
         views.all(|view| view.note("load/0").is_none())
     };
-    assert!(pump.run_until(700, gone));
+    assert!(pump.run_until(700, expired));
 }
 
 #[test]
--- a/crates/guavawell-core/tests/membership/failure.rs
+++ b/crates/guavawell-core/tests/membership/failure.rs
@@ -37,12 +37,12 @@
         let mut pump = MessagePump::converged(60, 7, seed);
         pump.loss_percent = 10;
         pump.leave(7);
-        let gone = |pump: &MessagePump| {
+        let removed = |pump: &MessagePump| {
             pump.live()
                 .all(|node| !routable(node).contains(&instance(7)))
         };
         assert!(
-            pump.run_until(LEAVE_ANNOUNCEMENT_STEPS, gone),
+            pump.run_until(LEAVE_ANNOUNCEMENT_STEPS, removed),
             "seed {seed}"
         );
     }
--- a/crates/guavawell-core/tests/membership/report.rs
+++ b/crates/guavawell-core/tests/membership/report.rs
@@ -112,11 +112,11 @@
         }
         assert!(version < 10, "did not reach every node");
     }
-    let gone = |pump: &MessagePump| {
+    let expired = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
         views.all(|view| view.note("room/a").is_none())
     };
-    assert!(pump.run_until(700, gone));
+    assert!(pump.run_until(700, expired));
 }
 
 #[test]
@@ -129,11 +129,11 @@
         let counts = pump.nodes.iter().map(|node| node.membership.counts());
         counts.map(|counts| counts.bytes_sent).sum()
     };
-    let quiet_from = sent(&pump);
+    let sent_at_start = sent(&pump);
     for _ in 0..50 {
         pump.step();
     }
-    let quiet = sent(&pump) - quiet_from;
+    let quiet = sent(&pump) - sent_at_start;
     let version = ManifestVersion::new(2);
     pump.nodes[0].membership.set_manifest(version);
     let learned = |pump: &MessagePump| {
--- a/crates/guavawell-core/tests/membership/value.rs
+++ b/crates/guavawell-core/tests/membership/value.rs
@@ -93,7 +93,7 @@
         let noise: Vec<u8> = std::iter::repeat_with(|| random.u8(..))
             .take(length)
             .collect();
-        let _either = GossipMessage::decode(&noise);
+        let _result = GossipMessage::decode(&noise);
     }
 }
 
@@ -111,12 +111,12 @@
         owned.iter().all(|count| (50..170).contains(count)),
         "{owned:?}"
     );
-    let gone = &members[10];
-    let rest: Vec<_> = members.iter().filter(|member| *member != gone).collect();
+    let removed = &members[10];
+    let rest: Vec<_> = members.iter().filter(|member| *member != removed).collect();
     for key in &keys {
         let before = owner(&members, key.as_bytes()).expect("members");
         let after = owner(rest.iter().copied(), key.as_bytes()).expect("members");
-        assert!(before == gone || before == after);
+        assert!(before == removed || before == after);
     }
     assert_eq!(owner([], b"slot/1"), None);
     let ranked = owners(&members, b"slot/1");
