--- a/crates/guavawell-core/src/instance/membership/send.rs
+++ b/crates/guavawell-core/src/instance/membership/send.rs
@@ -1,4 +1,4 @@
-//! Building messages within the datagram's size and the allowance of bytes.
+//! Building messages within the limits of a datagram and of the send allowance.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use super::Membership;
 use crate::clock::ClockTime;
 use crate::id::ZoneId;
-use crate::instance::allowance::SendUrgency;
+use crate::instance::allowance::SendPriority;
 use crate::instance::directory::MemberEntry;
 use crate::instance::message::GossipMessage;
 use crate::instance::message::GossipRumour;
@@ -16,13 +16,13 @@
 use crate::instance::queue::RumourTopic;
 use crate::instance::record::MemberRecord;
 use crate::instance::record::Reachability;
-use crate::instance::settings::DATAGRAM_OVERHEAD;
+use crate::instance::settings::DATAGRAM_OVERHEAD_BYTES;
 use crate::instance::settings::MAX_MESSAGE_BYTES;
 
-/// Bytes that the count of rumours may take beyond that of an empty list.
-const COUNT_BYTES: usize = 1;
+/// Bytes by which the encoded length of a rumour list may exceed that of an empty one.
+const RUMOUR_COUNT_EXTRA_BYTES: usize = 1;
 
-/// A receiver as far as packing a message for it goes.
+/// The receiver of a message.
 #[derive(Clone, Debug)]
 pub(super) struct SendTarget {
     pub(super) address: SocketAddr,
@@ -47,13 +47,14 @@
 }
 
 impl Membership {
-    /// Sends `body` with `first` and as much other news as fits; false if withheld.
+    /// Sends `body` with the rumours `first` and as many queued ones as fit; false
+    /// if the allowance does not suffice.
     pub(super) fn send(
         &mut self,
         target: &SendTarget,
         body: MessageBody,
         first: Vec<GossipRumour>,
-        urgency: SendUrgency,
+        priority: SendPriority,
         now: ClockTime,
     ) -> bool {
         let mut message = GossipMessage {
@@ -62,37 +63,38 @@
             rumours: first,
         };
         let base = message.encoded_len();
-        let available = self.allowance.available(urgency, now);
-        if base + DATAGRAM_OVERHEAD > available {
+        let available = self.allowance.available(priority, now);
+        if base + DATAGRAM_OVERHEAD_BYTES > available {
             self.counts.withheld += 1;
             return false;
         }
-        let limit = MAX_MESSAGE_BYTES.min(available - DATAGRAM_OVERHEAD);
-        let room = limit.saturating_sub(base + COUNT_BYTES);
+        let limit = MAX_MESSAGE_BYTES.min(available - DATAGRAM_OVERHEAD_BYTES);
+        let room = limit.saturating_sub(base + RUMOUR_COUNT_EXTRA_BYTES);
         self.pack(&mut message, target, room);
         self.emit(target.address, message, limit);
         true
     }
 
-    /// Charges a finished message and hands it to the driver.
+    /// Drops rumours from the end that exceed `limit`, deducts the message from
+    /// the allowance and passes it to the driver.
     fn emit(&mut self, to: SocketAddr, mut message: GossipMessage, limit: usize) {
         let mut bytes = message.encoded_len();
         while bytes > limit && message.rumours.pop().is_some() {
             bytes = message.encoded_len();
         }
-        let bytes = bytes + DATAGRAM_OVERHEAD;
+        let bytes = bytes + DATAGRAM_OVERHEAD_BYTES;
         self.allowance.take(bytes);
         self.counts.bytes_sent += u64::try_from(bytes).unwrap_or(u64::MAX);
         let message = Box::new(message);
         self.effects.push(MemberEffect::Send { to, message });
     }
 
-    /// Charges a datagram of load reports with `payload` bytes, which goes
-    /// beside gossip; false if the allowance is needed for membership.
+    /// Deducts a datagram of load reports with `payload` bytes, which is sent
+    /// outside gossip; false if the rest of the allowance is reserved for gossip.
     #[must_use]
     pub fn charge_report(&mut self, payload: usize, now: ClockTime) -> bool {
-        let bytes = payload + DATAGRAM_OVERHEAD;
-        let allowed = bytes <= self.allowance.available(SendUrgency::Report, now);
+        let bytes = payload + DATAGRAM_OVERHEAD_BYTES;
+        let allowed = bytes <= self.allowance.available(SendPriority::Report, now);
         if !allowed {
             self.counts.reports_withheld += 1;
             return false;
@@ -103,10 +105,10 @@
     }
 
     fn pack(&mut self, message: &mut GossipMessage, target: &SendTarget, room: usize) {
-        let member_sends = self.settings.member_sends_at(self.size());
-        let leave_sends = self.settings.leave_sends_at(self.size());
+        let member_sends = self.settings.member_sends_at(self.fleet_size());
+        let leave_sends = self.settings.leave_sends_at(self.fleet_size());
         let note_sends = self.settings.note_sends;
-        let manifest_sends = self.settings.manifest_sends_at(self.size());
+        let manifest_sends = self.settings.manifest_sends_at(self.fleet_size());
         let limit = |class| match class {
             RumourClass::Leaving => leave_sends,
             RumourClass::Member => member_sends,
@@ -127,7 +129,7 @@
         message.rumours.extend(rumours);
     }
 
-    /// The news on a topic as it stands now.
+    /// Returns the current content of a topic.
     pub(super) fn rumour(&self, topic: &RumourTopic) -> Option<GossipRumour> {
         match topic {
             RumourTopic::Member(instance) if *instance == self.own.instance => {
@@ -154,21 +156,22 @@
         }
     }
 
-    /// At most `count` different members to gossip with, mostly of this zone.
+    /// Picks at most `count` different members that are not unreachable, mostly of
+    /// this zone.
     pub(super) fn pick_targets(&mut self, count: usize) -> Vec<SendTarget> {
         let zone = &self.own.zone;
-        let talkative =
+        let is_eligible =
             |entry: &&MemberEntry| entry.record.reachability != Reachability::Unreachable;
-        let entries = self.directory.entries().iter().filter(talkative);
-        let (mut near, mut far): (Vec<_>, Vec<_>) =
+        let entries = self.directory.entries().iter().filter(is_eligible);
+        let (mut in_zone, mut cross_zone): (Vec<_>, Vec<_>) =
             entries.partition(|entry| entry.record.zone == *zone);
         let mut targets = Vec::new();
-        while targets.len() < count && !(near.is_empty() && far.is_empty()) {
-            let cross = self.random.u8(0..100) < self.settings.cross_zone_percent;
-            let pool = if (cross && !far.is_empty()) || near.is_empty() {
-                &mut far
+        while targets.len() < count && !(in_zone.is_empty() && cross_zone.is_empty()) {
+            let is_cross_zone = self.random.u8(0..100) < self.settings.cross_zone_percent;
+            let pool = if (is_cross_zone && !cross_zone.is_empty()) || in_zone.is_empty() {
+                &mut cross_zone
             } else {
-                &mut near
+                &mut in_zone
             };
             let index = self.random.usize(0..pool.len());
             targets.push(SendTarget::of(&pool.swap_remove(index).record));
@@ -176,14 +179,14 @@
         targets
     }
 
-    /// Tells many at once that this instance leaves.
-    pub(super) fn spread_leaving(&mut self, now: ClockTime) {
+    /// Sends this instance's leave announcement to many members at once.
+    pub(super) fn send_leave_announcement(&mut self, now: ClockTime) {
         for target in self.pick_targets(self.settings.leave_fanout) {
             self.send(
                 &target,
                 MessageBody::News,
                 Vec::new(),
-                SendUrgency::Urgent,
+                SendPriority::Urgent,
                 now,
             );
         }
--- a/crates/guavawell-core/src/instance/note.rs
+++ b/crates/guavawell-core/src/instance/note.rs
@@ -1,4 +1,4 @@
-//! Notes: small versioned values that ride on gossip.
+//! Notes: small versioned key-value pairs that are replicated by gossip.
 
 use std::sync::Arc;
 
@@ -10,35 +10,36 @@
 use crate::clock::ClockTime;
 use crate::id::ZoneId;
 
-/// Longest key of a note, in bytes.
+/// Maximum length of a note's key, in bytes.
 pub const MAX_NOTE_KEY_BYTES: usize = 64;
 
-/// Which instances keep and pass on a note.
+/// Which instances store and pass on a note, and when it expires.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoteScope {
-    /// Instances of one zone; dropped when not renewed.
+    /// Instances of one zone; expires unless renewed by a newer version.
     Zone(ZoneId),
-    /// Every instance; kept until a newer version comes.
+    /// Every instance, also spread by sync; never expires.
     Fleet,
-    /// Every instance, by gossip alone; dropped when not renewed. For what is
-    /// renewed so often that comparisons would always differ.
+    /// Every instance, spread by gossip only; expires unless renewed by a newer
+    /// version. For notes renewed so often that every sync would find a difference.
     Passing,
 }
 
-/// A small value under a key; the highest version wins.
+/// A small value under a key; the highest version replaces the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipNote {
-    /// The key, at most [`MAX_NOTE_KEY_BYTES`].
+    /// The key, at most [`MAX_NOTE_KEY_BYTES`] long.
     pub key: Box<str>,
-    /// Who keeps it.
+    /// Which instances store it.
     pub scope: NoteScope,
-    /// The version; one writer for each key is expected.
+    /// The version. Each key should have one writer: of two notes with the same
+    /// version the first one stays.
     pub version: u64,
-    /// The value, opaque to gossip.
+    /// The value, which gossip does not interpret.
     pub bytes: Box<[u8]>,
 }
 
-/// Why a note is not taken.
+/// Why a note is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NoteError {
     /// The key is too long.
@@ -49,94 +50,100 @@
     TooLarge {
         /// The note's key.
         key: Box<str>,
-        /// Its size.
+        /// The value's size, in bytes.
         bytes: usize,
-        /// The largest size.
+        /// The maximum size, in bytes.
         limit: usize,
     },
-    /// As many notes as allowed are kept already.
-    #[error("note `{0}` would exceed the number of notes kept")]
+    /// The maximum number of notes is stored already.
+    #[error("note `{0}` exceeds the maximum number of notes")]
     TooMany(Box<str>),
-    /// It belongs to another zone.
+    /// The note is for another zone.
     #[error("note `{0}` belongs to another zone")]
     OtherZone(Box<str>),
 }
 
 #[derive(Clone, Debug)]
-struct KeptNote {
+struct StoredNote {
     note: Arc<GossipNote>,
-    renewed: ClockTime,
+    renewed_at: ClockTime,
 }
 
-/// The notes that one instance keeps, sorted by key.
+/// The notes that one instance stores, sorted by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NoteStore {
-    notes: Vec<KeptNote>,
+    notes: Vec<StoredNote>,
 }
 
 impl NoteStore {
-    /// Takes a note in; `Ok(true)` if it was news.
-    pub(super) fn take(
+    /// Stores a note; `Ok(true)` if it was new or a newer version.
+    pub(super) fn apply(
         &mut self,
         note: &GossipNote,
         zone: &ZoneId,
         settings: &MembershipSettings,
         now: ClockTime,
     ) -> Result<bool, NoteError> {
-        check(note, zone, settings)?;
+        validate(note, zone, settings)?;
         let position = self.position(&note.key);
-        let kept = KeptNote {
+        let stored = StoredNote {
             note: Arc::new(note.clone()),
-            renewed: now,
+            renewed_at: now,
         };
         match position {
             Ok(index) if self.notes[index].note.version >= note.version => Ok(false),
             Ok(index) => {
-                self.notes[index] = kept;
+                self.notes[index] = stored;
                 Ok(true)
             }
             Err(_) if self.notes.len() >= settings.max_notes => {
                 Err(NoteError::TooMany(note.key.clone()))
             }
             Err(index) => {
-                self.notes.insert(index, kept);
+                self.notes.insert(index, stored);
                 Ok(true)
             }
         }
     }
 
-    /// The note under `key`.
+    /// Returns the note under `key`.
     pub(super) fn find(&self, key: &str) -> Option<&Arc<GossipNote>> {
         let index = self.position(key).ok()?;
         Some(&self.notes[index].note)
     }
 
-    /// Drops notes that were not renewed, but for those of the fleet; true if any went.
+    /// Drops notes that were not renewed in time, except those with fleet scope;
+    /// true if any was dropped.
     pub(super) fn expire(&mut self, settings: &MembershipSettings, now: ClockTime) -> bool {
         let before = self.notes.len();
-        self.notes.retain(|kept| {
-            kept.note.scope == NoteScope::Fleet || now.since(kept.renewed) < settings.note_lifetime
+        self.notes.retain(|stored| {
+            stored.note.scope == NoteScope::Fleet
+                || now.since(stored.renewed_at) < settings.note_lifetime
         });
         before != self.notes.len()
     }
 
-    /// All notes, sorted by key.
+    /// Returns all notes, sorted by key.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
-        self.notes.iter().map(|kept| &kept.note)
+        self.notes.iter().map(|stored| &stored.note)
     }
 
-    /// The notes that every instance keeps.
-    pub(super) fn of_fleet(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
+    /// Returns the notes with fleet scope.
+    pub(super) fn fleet_notes(&self) -> impl Iterator<Item = &Arc<GossipNote>> {
         self.all().filter(|note| note.scope == NoteScope::Fleet)
     }
 
     fn position(&self, key: &str) -> Result<usize, usize> {
         self.notes
-            .binary_search_by(|kept| (*kept.note.key).cmp(key))
+            .binary_search_by(|stored| (*stored.note.key).cmp(key))
     }
 }
 
-fn check(note: &GossipNote, zone: &ZoneId, settings: &MembershipSettings) -> Result<(), NoteError> {
+fn validate(
+    note: &GossipNote,
+    zone: &ZoneId,
+    settings: &MembershipSettings,
+) -> Result<(), NoteError> {
     if note.key.len() > MAX_NOTE_KEY_BYTES {
         return Err(NoteError::KeyTooLong(note.key.clone()));
     }
--- a/crates/guavawell-core/src/instance/probe.rs
+++ b/crates/guavawell-core/src/instance/probe.rs
@@ -1,4 +1,4 @@
-//! Which member is probed next, and the probes that wait for an answer.
+//! Order in which members are probed, and the probes that await an answer.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 /// On whose behalf a probe was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeOrigin {
-    /// This instance's own probe.
+    /// This instance sent it to check the target.
     Own {
-        /// Whether others were already asked to probe as well.
+        /// Whether other members were already asked to probe the target.
         indirect: bool,
     },
-    /// Another instance asked for it.
+    /// Sent at the request of another instance.
     Relayed {
-        /// Where the answer goes.
+        /// Address to which the answer is relayed.
         requester: SocketAddr,
-        /// Number of the probe at the requester.
+        /// Probe number assigned by the requester.
         probe: u64,
     },
 }
 
-/// A probe that waits for an answer.
+/// A probe that awaits an answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingProbe {
     pub(super) number: u64,
@@ -36,38 +36,39 @@
 /// Members still to be probed in this round, in random order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeRound {
-    rest: Vec<InstanceId>,
+    remaining: Vec<InstanceId>,
 }
 
 impl ProbeRound {
-    /// The next member that still `serves`, starting a new round where this one ended.
+    /// Returns the next member that satisfies `is_eligible`; at the end of a
+    /// round, starts a new one with the members from `refill`.
     pub(super) fn next(
         &mut self,
-        serves: impl Fn(&InstanceId) -> bool,
+        is_eligible: impl Fn(&InstanceId) -> bool,
         refill: impl FnOnce() -> Vec<InstanceId>,
     ) -> Option<InstanceId> {
-        while let Some(instance) = self.rest.pop() {
-            if serves(&instance) {
+        while let Some(instance) = self.remaining.pop() {
+            if is_eligible(&instance) {
                 return Some(instance);
             }
         }
-        self.rest = refill();
-        self.rest.pop()
+        self.remaining = refill();
+        self.remaining.pop()
     }
 }
 
-/// The probes of one instance.
+/// Probe rounds and pending probes of one instance.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ProbeBook {
+pub(super) struct ProbeTracker {
     pub(super) in_zone: ProbeRound,
     pub(super) cross_zone: ProbeRound,
     pending: Vec<PendingProbe>,
     last_number: u64,
 }
 
-impl ProbeBook {
-    /// Notes a probe and gives its number.
-    pub(super) fn open(
+impl ProbeTracker {
+    /// Records a probe and returns its number.
+    pub(super) fn register(
         &mut self,
         target: InstanceId,
         incarnation: IncarnationId,
@@ -85,8 +86,9 @@
         self.last_number
     }
 
-    /// Closes the probe that an answer belongs to; a former life's answer counts for nothing.
-    pub(super) fn close(
+    /// Removes and returns the probe that an answer matches. Answers from an
+    /// older incarnation than the probed one are ignored.
+    pub(super) fn complete(
         &mut self,
         number: u64,
         target: &InstanceId,
@@ -98,36 +100,40 @@
         Some(self.pending.swap_remove(index))
     }
 
-    /// Own probes older than `before` for which nobody else was asked yet, now marked as asked.
-    pub(super) fn take_late(&mut self, is_late: impl Fn(ClockTime) -> bool) -> Vec<PendingProbe> {
-        let mut late = Vec::new();
+    /// Returns own probes that satisfy `is_timed_out` and were not tried through
+    /// other members yet, and marks them as tried.
+    pub(super) fn take_timed_out(
+        &mut self,
+        is_timed_out: impl Fn(ClockTime) -> bool,
+    ) -> Vec<PendingProbe> {
+        let mut timed_out = Vec::new();
         for probe in &mut self.pending {
             let own = probe.origin == ProbeOrigin::Own { indirect: false };
-            if own && is_late(probe.sent) {
+            if own && is_timed_out(probe.sent) {
                 probe.origin = ProbeOrigin::Own { indirect: true };
-                late.push(probe.clone());
+                timed_out.push(probe.clone());
             }
         }
-        late
+        timed_out
     }
 
-    /// Removes probes whose time is over.
+    /// Removes and returns the probes that satisfy `has_expired`.
     pub(super) fn take_expired(
         &mut self,
-        is_over: impl Fn(ClockTime) -> bool,
+        has_expired: impl Fn(ClockTime) -> bool,
     ) -> Vec<PendingProbe> {
         let mut expired = Vec::new();
         self.pending.retain(|probe| {
-            let over = is_over(probe.sent);
-            if over {
+            let is_expired = has_expired(probe.sent);
+            if is_expired {
                 expired.push(probe.clone());
             }
-            !over
+            !is_expired
         });
         expired
     }
 
-    /// Drops all probes, after this process itself was paused.
+    /// Drops all pending probes.
     pub(super) fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/guavawell-core/tests/membership/bound.rs
+++ b/crates/guavawell-core/tests/membership/bound.rs
@@ -1,4 +1,4 @@
-//! Bounds on bytes, memory and notes.
+//! Limits on sent bytes, stored members and tombstones, and notes.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::instance::GossipNote;
@@ -25,7 +25,7 @@
     view.find(&instance(number)).is_some()
 }
 
-/// Has every node publish a large note for the whole fleet.
+/// Has every node publish a large note with fleet scope.
 fn flood(pump: &mut MessagePump, version: u64) {
     let now = pump.now;
     for (index, node) in pump.nodes.iter_mut().enumerate() {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bytes_sent_stay_under_the_setting_in_a_flood_and_a_leaving_mark_still_passes() {
+fn bytes_sent_stay_within_the_limit_in_a_flood_and_a_leave_announcement_still_spreads() {
     let mut pump = MessagePump::converged(30, 7, 11);
     let settings = MembershipSettings::default();
     let began = pump.now;
@@ -59,13 +59,17 @@
         let elapsed = pump.now.since(began).as_millis();
         let allowed = settings.burst_bytes + settings.bytes_per_second * elapsed / 1_000;
         let after = sent(&pump);
-        let most = after
+        let sent_bytes = after
             .iter()
             .zip(&before)
             .map(|(after, before)| after - before);
-        assert!(most.max().expect("nodes") <= allowed, "at {}", pump.now);
+        assert!(
+            sent_bytes.max().expect("nodes") <= allowed,
+            "at {}",
+            pump.now
+        );
     }
-    assert!(left_at.expect("the mark passed") <= 230);
+    assert!(left_at.expect("the leave announcement spread") <= 230);
     let withheld: u64 = pump
         .nodes
         .iter()
@@ -75,15 +79,15 @@
 }
 
 #[test]
-fn members_are_forgotten_once_unlisted_and_their_life_is_not_taken_in_again() {
+fn delisted_members_are_forgotten_and_their_incarnation_is_not_readmitted() {
     let mut pump = MessagePump::new(2, 12);
-    pump.settings.forget_span = ClockSpan::from_millis(20_000);
+    pump.settings.forget_delisted_span = ClockSpan::from_millis(20_000);
     for number in 0..8 {
         pump.add(number);
     }
     pump.list_all();
     assert!(pump.run_until(300, MessagePump::is_converged));
-    // Instance 7 is paused with the old record of instance 3 in its memory.
+    // Instance 7 is paused while it still has the record of instance 3.
     pump.nodes[7].paused = true;
     pump.nodes[3].running = false;
     pump.list_all();
@@ -94,19 +98,19 @@
     pump.nodes[7].paused = false;
     for _ in 0..100 {
         pump.step();
-        assert!(forgotten(&pump), "taken in again at {}", pump.now);
+        assert!(forgotten(&pump), "readmitted at {}", pump.now);
     }
-    // A later life is another matter.
+    // A later incarnation is admitted.
     pump.add(3);
     pump.list_all();
     assert!(pump.run_until(600, MessagePump::is_converged));
 }
 
 #[test]
-fn absent_list_entry_removes_nobody() {
+fn an_empty_list_removes_no_member() {
     let mut pump = MessagePump::converged(6, 2, 13);
     for node in &mut pump.nodes {
-        node.membership.list(&[]);
+        node.membership.set_listed(&[]);
     }
     for _ in 0..200 {
         pump.step();
@@ -127,13 +131,13 @@
     for node in &mut pump.nodes[4..] {
         node.running = false;
     }
-    let few = |pump: &MessagePump| {
+    let within_limits = |pump: &MessagePump| {
         pump.live().all(|node| {
             let view = node.membership.view();
             view.members().len() == 4 + 3 && node.membership.counts().tombstones == 2
         })
     };
-    assert!(pump.run_until(1_000, few));
+    assert!(pump.run_until(1_000, within_limits));
 }
 
 #[test]
@@ -153,20 +157,20 @@
         })
     };
     assert!(pump.run_until(300, spread));
-    // A newcomer learns the fleet's notes by comparison.
+    // A new instance learns notes with fleet scope by sync.
     pump.add(12);
     pump.list_all();
-    let told = |pump: &MessagePump| {
+    let learned = |pump: &MessagePump| {
         let view = pump.nodes[12].membership.view();
         view.note("manifest") == Some(&version)
     };
-    assert!(pump.run_until(300, told));
-    // A zone's note that nobody renews goes after a minute.
-    let gone = |pump: &MessagePump| {
+    assert!(pump.run_until(300, learned));
+    // A note with zone scope that is not renewed expires after a minute.
+    let expired = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
         views.all(|view| view.note("load/0").is_none())
     };
-    assert!(pump.run_until(700, gone));
+    assert!(pump.run_until(700, expired));
 }
 
 #[test]
--- a/crates/guavawell-core/tests/membership/pump.rs
+++ b/crates/guavawell-core/tests/membership/pump.rs
@@ -1,4 +1,4 @@
-//! A message pump over real membership state machines: one queue, own clock.
+//! Simulated network of membership state machines: one message queue, one clock.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -22,19 +22,20 @@
 /// Time between two steps.
 pub const STEP: ClockSpan = ClockSpan::from_millis(100);
 
-/// One instance in the pump.
+/// One simulated instance.
 pub struct PumpNode {
     pub membership: Membership,
     pub address: SocketAddr,
     pub running: bool,
     pub paused: bool,
-    /// Nodes talk only within one group.
-    pub group: u8,
+    /// Messages are delivered only between nodes of the same partition.
+    pub partition: u8,
     pub superseded: bool,
-    waiting: Vec<(SocketAddr, GossipMessage)>,
+    /// Messages received while paused, handled when the node resumes.
+    held_messages: Vec<(SocketAddr, GossipMessage)>,
 }
 
-/// The instances and the messages between them.
+/// The simulated instances and the messages between them.
 pub struct MessagePump {
     pub now: ClockTime,
     pub nodes: Vec<PumpNode>,
@@ -47,7 +48,7 @@
 }
 
 impl MessagePump {
-    /// An empty pump whose nodes will be spread over `zones`.
+    /// Creates a pump without nodes; added ones are distributed over `zones` zones.
     pub fn new(zones: usize, seed: u64) -> Self {
         Self {
             now: ClockTime::from_millis(1_000_000),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A pump with `count` nodes that have found each other.
+    /// Creates a pump with `count` nodes that all know each other.
     pub fn converged(count: usize, zones: usize, seed: u64) -> Self {
         let mut pump = Self::new(zones, seed);
         for number in 0..count {
@@ -74,14 +75,15 @@
         pump
     }
 
-    /// Starts instance `number` at its own address, replacing a former life.
+    /// Starts instance `number` at its own address, replacing any node there.
     pub fn add(&mut self, number: usize) -> usize {
         self.add_as(number, number)
     }
 
-    /// Starts instance `number` at the address of instance `place`.
-    pub fn add_as(&mut self, number: usize, place: usize) -> usize {
-        let record = self.record(number, place);
+    /// Starts instance `number` at the address of instance `address_number`,
+    /// replacing any node there; returns its index.
+    pub fn add_as(&mut self, number: usize, address_number: usize) -> usize {
+        let record = self.record(number, address_number);
         let address = record.gossip_address;
         let seed = self.random.u64(..);
         let node = PumpNode {
@@ -89,9 +91,9 @@
             address,
             running: true,
             paused: false,
-            group: 0,
+            partition: 0,
             superseded: false,
-            waiting: Vec::new(),
+            held_messages: Vec::new(),
         };
         let former = self.nodes.iter().position(|old| old.address == address);
         if let Some(index) = former {
@@ -102,14 +104,14 @@
         self.nodes.len() - 1
     }
 
-    fn record(&mut self, number: usize, place: usize) -> MemberRecord {
-        let host = 0x0a00_0000 + u32::try_from(place).expect("a small number");
+    fn record(&mut self, number: usize, address_number: usize) -> MemberRecord {
+        let host = 0x0a00_0000 + u32::try_from(address_number).expect("a small number");
         let address = |port: u16| SocketAddr::from((Ipv4Addr::from_bits(host), port));
         MemberRecord {
             instance: instance(number),
             incarnation: draw_incarnation(self.now, self.random.u64(..)),
             refutation: 0,
-            zone: zone(place % self.zones),
+            zone: zone(address_number % self.zones),
             caller_address: address(8080),
             peer_address: address(8081),
             gossip_address: address(8082),
@@ -119,35 +121,36 @@
         }
     }
 
-    /// Gives every running node the true list.
+    /// Gives every node the list of the running nodes.
     pub fn list_all(&mut self) {
         let running = self.nodes.iter().filter(|node| node.running);
         let listed: Vec<_> = running.map(listed).collect();
         for node in &mut self.nodes {
-            node.membership.list(&listed);
+            node.membership.set_listed(&listed);
         }
     }
 
-    /// Ticks every node once and delivers everything that follows.
+    /// Advances the time, ticks every node that runs and is not paused, and
+    /// delivers all messages that follow.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
             if node.running && !node.paused {
-                for (from, message) in std::mem::take(&mut node.waiting) {
+                for (from, message) in std::mem::take(&mut node.held_messages) {
                     let effects = self.nodes[index]
                         .membership
                         .receive(from, &message, self.now);
-                    self.carry_out(index, effects);
+                    self.apply_effects(index, effects);
                 }
                 let effects = self.nodes[index].membership.tick(self.now);
-                self.carry_out(index, effects);
+                self.apply_effects(index, effects);
             }
         }
         self.deliver();
     }
 
-    /// Steps until `done`, at most `limit` times; false if that was not enough.
+    /// Steps until `done`, at most `limit` times; false if it is still not done.
     pub fn run_until(&mut self, limit: usize, done: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..limit {
             if done(self) {
@@ -161,17 +164,17 @@
     /// Announces that a node leaves.
     pub fn leave(&mut self, index: usize) {
         let effects = self.nodes[index].membership.leave(self.now);
-        self.carry_out(index, effects);
+        self.apply_effects(index, effects);
     }
 
-    /// Whether every running node can route to exactly the running nodes.
+    /// Whether every live node routes to exactly the live nodes.
     pub fn is_converged(&self) -> bool {
         let mut expected: Vec<_> = self.live().map(own_id).collect();
         expected.sort();
         self.live().all(|node| routable(node) == expected)
     }
 
-    /// Nodes that run, are not paused and do not leave.
+    /// Nodes that run, are not paused and are not leaving.
     pub fn live(&self) -> impl Iterator<Item = &PumpNode> {
         let running = self
             .nodes
@@ -180,7 +183,7 @@
         running.filter(|node| !node.membership.view().own().leaving)
     }
 
-    fn carry_out(&mut self, index: usize, effects: Vec<MemberEffect>) {
+    fn apply_effects(&mut self, index: usize, effects: Vec<MemberEffect>) {
         for effect in effects {
             match effect {
                 MemberEffect::Send { to, message } => {
@@ -204,13 +207,13 @@
                 continue;
             };
             if self.nodes[index].paused {
-                self.nodes[index].waiting.push((from, message));
+                self.nodes[index].held_messages.push((from, message));
                 continue;
             }
             let effects = self.nodes[index]
                 .membership
                 .receive(from, &message, self.now);
-            self.carry_out(index, effects);
+            self.apply_effects(index, effects);
         }
     }
 
@@ -218,7 +221,7 @@
         let index = self.nodes.iter().position(|node| node.address == to)?;
         let sender = self.nodes.iter().find(|node| node.address == from)?;
         let receiver = &self.nodes[index];
-        (receiver.running && sender.group == receiver.group).then_some(index)
+        (receiver.running && sender.partition == receiver.partition).then_some(index)
     }
 }
 
--- a/crates/guavawell-core/tests/membership/report.rs
+++ b/crates/guavawell-core/tests/membership/report.rs
@@ -1,4 +1,5 @@
-//! Load reports and passing notes beside membership's own news.
+//! Load reports and notes with passing scope, which share the send allowance with
+//! membership.
 
 use guavawell_core::id::ManifestVersion;
 use guavawell_core::instance::GossipNote;
@@ -8,7 +9,7 @@
 use crate::pump::MessagePump;
 use crate::pump::PumpNode;
 
-/// Payload of one datagram of load reports, more than routers send.
+/// Payload of one datagram of load reports, in bytes; larger than routers send.
 const REPORT_BYTES: usize = 400;
 
 fn passing(key: &str, version: u64, size: usize) -> GossipNote {
@@ -24,7 +25,7 @@
     node.membership.view().members().len() == count
 }
 
-/// Has every node send as many load reports as it may, and renew a note.
+/// Has every node send as many load reports as its allowance permits and renew a note.
 fn flood(pump: &mut MessagePump, version: u64) {
     let now = pump.now;
     for (index, node) in pump.nodes.iter_mut().enumerate() {
@@ -67,7 +68,7 @@
         assert!(counts.bytes_sent - before <= allowed, "bytes stay bounded");
         assert!(counts.reports_withheld > 0, "the flood was too small");
     }
-    // Probes and their answers were never given up for reports.
+    // The reports did not displace probes and their answers.
     assert!(pump.nodes.iter().all(|node| {
         let view = node.membership.view();
         view.routable().count() == view.members().len()
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_passing_note_reaches_every_zone_and_goes_when_not_renewed() {
+fn a_passing_note_reaches_every_zone_and_expires_unless_renewed() {
     let mut pump = MessagePump::converged(12, 3, 32);
     pump.loss_percent = 20;
     let now = pump.now;
@@ -90,7 +91,8 @@
     first
         .publish(&passing("room/a", 1, 100), now)
         .expect("taken");
-    // Renewals replace what a lost datagram left out; a late one changes nothing.
+    // A later version reaches the nodes that missed one by message loss; an older
+    // version is ignored.
     let mut version = 1;
     while !has(&pump, version) {
         for _ in 0..50 {
@@ -108,17 +110,17 @@
         for _ in 0..20 {
             pump.step();
         }
-        assert!(version < 10, "never reached everyone");
+        assert!(version < 10, "did not reach every node");
     }
-    let gone = |pump: &MessagePump| {
+    let expired = |pump: &MessagePump| {
         let mut views = pump.nodes.iter().map(|node| node.membership.view());
         views.all(|view| view.note("room/a").is_none())
     };
-    assert!(pump.run_until(700, gone));
+    assert!(pump.run_until(700, expired));
 }
 
 #[test]
-fn a_manifest_version_is_told_once_however_many_have_it_in_force() {
+fn a_manifest_version_is_announced_once_however_many_instances_run_it() {
     let mut pump = MessagePump::converged(60, 7, 33);
     for _ in 0..100 {
         pump.step();
@@ -127,14 +129,14 @@
         let counts = pump.nodes.iter().map(|node| node.membership.counts());
         counts.map(|counts| counts.bytes_sent).sum()
     };
-    let quiet_from = sent(&pump);
+    let sent_at_start = sent(&pump);
     for _ in 0..50 {
         pump.step();
     }
-    let quiet = sent(&pump) - quiet_from;
+    let quiet = sent(&pump) - sent_at_start;
     let version = ManifestVersion::new(2);
     pump.nodes[0].membership.set_manifest(version);
-    let heard = |pump: &MessagePump| {
+    let learned = |pump: &MessagePump| {
         pump.nodes.iter().all(|node| {
             let view = node.membership.view();
             view.members()
@@ -142,15 +144,18 @@
                 .any(|member| member.manifest == version)
         })
     };
-    let told_from = sent(&pump);
-    assert!(pump.run_until(30, heard), "not known after 3 s");
-    // All the others have it in force now, and say so only by themselves.
+    let sent_before = sent(&pump);
+    assert!(pump.run_until(30, learned), "not known after 3 s");
+    // The others apply it too, which must not cause further rumours.
     for node in &mut pump.nodes {
         node.membership.set_manifest(version);
     }
     for _ in 0..50 {
         pump.step();
     }
-    let told = sent(&pump) - told_from;
-    assert!(told < 6 * quiet, "{told} bytes, {quiet} while quiet");
+    let announcement_bytes = sent(&pump) - sent_before;
+    assert!(
+        announcement_bytes < 6 * quiet,
+        "{announcement_bytes} bytes, {quiet} while quiet"
+    );
 }
