--- a/crates/guavawell-core/examples/request_cost.rs
+++ b/crates/guavawell-core/examples/request_cost.rs
@@ -7,10 +7,10 @@
 
 use guavawell_core::id::AttemptId;
 use guavawell_core::request::FrameCheck;
-use guavawell_core::request::chat::ChatAsk;
 use guavawell_core::request::chat::ChatLimits;
-use guavawell_core::request::head::HeadAsk;
+use guavawell_core::request::chat::ChatRequest;
 use guavawell_core::request::head::HeadFields;
+use guavawell_core::request::head::ParsedHead;
 
 const ROUNDS: u32 = 20_000;
 const PROMPT_BYTES: [usize; 3] = [200, 4_000, 64_000];
@@ -48,7 +48,7 @@
         generation: Some("12"),
     };
     report("head", ROUNDS, 0, || {
-        let _ = black_box(HeadAsk::parse(Clone::clone(&organisation), fields, 1));
+        let _ = black_box(ParsedHead::parse(Clone::clone(&organisation), fields, 1));
     });
 }
 
@@ -60,7 +60,7 @@
     let limits = ChatLimits::default();
     let rounds = if bytes > 10_000 { ROUNDS / 10 } else { ROUNDS };
     report(&format!("chat body {bytes} B"), rounds, body.len(), || {
-        let _ = black_box(ChatAsk::parse(body.as_bytes(), &limits));
+        let _ = black_box(ChatRequest::parse(body.as_bytes(), &limits));
     });
 }
 
@@ -84,7 +84,7 @@
             for (id, data) in &frames {
                 let _ = black_box(check.accept(id, data));
             }
-            assert!(check.is_whole());
+            assert!(check.is_complete());
         },
     );
 }
--- a/crates/guavawell-core/src/request/billing/audit.rs
+++ b/crates/guavawell-core/src/request/billing/audit.rs
@@ -22,7 +22,7 @@
 
 /// One budget's audit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AuditLine {
+pub struct AuditResult {
     /// The budget.
     pub budget: BudgetId,
     /// The sum paid.
@@ -45,39 +45,39 @@
     row: &BudgetRow,
     refunded: TokenCount,
     fold: &BillingFold,
-) -> AuditLine {
+) -> AuditResult {
     let charged = fold.charged(budget);
-    let second = fold.owed(budget);
-    let owed = second.saturating_sub(refunded);
-    let recorded = charged.saturating_add(second);
+    let duplicate = fold.owed(budget);
+    let owed = duplicate.saturating_sub(refunded);
+    let recorded = charged.saturating_add(duplicate);
     let settled = row.settled.saturating_add(refunded);
-    AuditLine {
+    AuditResult {
         budget: budget.clone(),
         paid: row.paid,
         settled: row.settled,
         charged,
         owed,
-        gap: gap(recorded, settled, uncommitted(row)),
+        gap: gap(recorded, settled, outstanding(row)),
     }
 }
 
 /// Tokens out with holders: granted or frozen, and not settled in the row.
-fn uncommitted(row: &BudgetRow) -> TokenCount {
+fn outstanding(row: &BudgetRow) -> TokenCount {
     let open: TokenCount = row.grants.iter().map(|grant| grant.open).sum();
     let frozen: TokenCount = row.frozen.iter().map(|frozen| frozen.tokens).sum();
     open.saturating_add(frozen)
 }
 
-fn gap(recorded: TokenCount, settled: TokenCount, out: TokenCount) -> AuditGap {
+fn gap(recorded: TokenCount, settled: TokenCount, outstanding: TokenCount) -> AuditGap {
     if recorded == settled {
         return AuditGap::None;
     }
     if recorded < settled {
         return AuditGap::Unrecorded(settled.saturating_sub(recorded));
     }
-    let ahead = recorded.saturating_sub(settled);
-    match ahead.checked_sub(out) {
-        Some(beyond) if beyond > TokenCount::ZERO => AuditGap::Overdrawn(beyond),
-        _ => AuditGap::Unreported(ahead),
+    let unsettled = recorded.saturating_sub(settled);
+    match unsettled.checked_sub(outstanding) {
+        Some(overdrawn) if overdrawn > TokenCount::ZERO => AuditGap::Overdrawn(overdrawn),
+        _ => AuditGap::Unreported(unsettled),
     }
 }
--- a/crates/guavawell-core/src/request/billing/buffer.rs
+++ b/crates/guavawell-core/src/request/billing/buffer.rs
@@ -12,16 +12,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalPolicy {
     /// Most records of a segment.
-    pub most_records: usize,
+    pub max_records: usize,
     /// Longest time that a record waits for its segment to fill.
-    pub longest_wait: ClockSpan,
+    pub max_wait: ClockSpan,
 }
 
 impl Default for JournalPolicy {
     fn default() -> Self {
         Self {
-            most_records: 1_000,
-            longest_wait: ClockSpan::from_millis(5_000),
+            max_records: 1_000,
+            max_wait: ClockSpan::from_millis(5_000),
         }
     }
 }
@@ -60,8 +60,8 @@
     }
 
     /// Another longest wait, also for the records that wait now.
-    pub const fn set_longest_wait(&mut self, wait: ClockSpan) {
-        self.policy.longest_wait = wait;
+    pub const fn set_max_wait(&mut self, wait: ClockSpan) {
+        self.policy.max_wait = wait;
     }
 
     /// Adds a record.
@@ -70,13 +70,13 @@
             self.open_since = now;
         }
         self.open.push(record);
-        if self.open.len() >= self.policy.most_records {
+        if self.open.len() >= self.policy.max_records {
             self.close();
         }
     }
 
     /// The segment to write next, closing the open one if it is due. It stays
-    /// the next until [`JournalBuffer::written`] says that it is durable.
+    /// the next until [`JournalBuffer::take_written`] says that it is durable.
     pub fn next(&mut self, now: ClockTime) -> Option<&JournalSegment> {
         if self.due_in(now) == Some(ClockSpan::default()) {
             self.close();
@@ -94,7 +94,7 @@
         if self.open.is_empty() {
             return None;
         }
-        Some((self.open_since + self.policy.longest_wait).since(now))
+        Some((self.open_since + self.policy.max_wait).since(now))
     }
 
     /// Closes the open segment, full or not; for a shutdown.
@@ -108,16 +108,16 @@
     }
 
     /// The segment is durable: its records are given back, to be forgotten.
-    pub fn written(&mut self, name: &SegmentName) -> Vec<BillingRecord> {
-        let place = self.closed.iter().position(|segment| segment.name == *name);
-        place.map_or_else(Vec::new, |place| self.closed.remove(place).records)
+    pub fn take_written(&mut self, name: &SegmentName) -> Vec<BillingRecord> {
+        let index = self.closed.iter().position(|segment| segment.name == *name);
+        index.map_or_else(Vec::new, |index| self.closed.remove(index).records)
     }
 
     /// Another object lies under the segment's name: it takes a new one.
     pub fn rename(&mut self, name: &SegmentName) {
-        let fresh = self.next_name();
+        let new_name = self.next_name();
         if let Some(segment) = self.closed.iter_mut().find(|segment| segment.name == *name) {
-            segment.name = fresh;
+            segment.name = new_name;
         }
     }
 
--- a/crates/guavawell-core/src/request/billing/chain.rs
+++ b/crates/guavawell-core/src/request/billing/chain.rs
@@ -62,26 +62,26 @@
 /// the row says was reported.
 #[must_use]
 pub fn audit_chains(budget: &BudgetId, row: &BudgetRow, records: &[BillingRecord]) -> ChainAudit {
-    let mut placed: Vec<&BillingRecord> = records
+    let mut sorted: Vec<&BillingRecord> = records
         .iter()
-        .filter(|record| record.budget == *budget && has_place(record))
+        .filter(|record| record.budget == *budget && has_range(record))
         .collect();
-    placed.sort_by(|left, right| {
+    sorted.sort_by(|left, right| {
         let order = chain_key(left).cmp(&chain_key(right));
         let order = order.then(left.counted.cmp(&right.counted));
-        let order = order.then(start(left).cmp(&start(right)));
+        let order = order.then(range_start(left).cmp(&range_start(right)));
         let order = order.then(left.identity.cmp(&right.identity));
         order.then(left.attempt.cmp(&right.attempt))
     });
     // A former holder may have told of an attempt that its successor charged:
     // each chain keeps its own record of it.
-    placed
+    sorted
         .dedup_by(|left, right| chain_key(left) == chain_key(right) && left.is_same_charge(right));
     let mut audit = ChainAudit {
-        records: placed.len(),
+        records: sorted.len(),
         ..ChainAudit::default()
     };
-    for chain in placed.chunk_by(|left, right| chain_key(left) == chain_key(right)) {
+    for chain in sorted.chunk_by(|left, right| chain_key(left) == chain_key(right)) {
         audit.chains += 1;
         check_chain(chain, row, &mut audit.gaps);
     }
@@ -94,15 +94,18 @@
     /// tokens once.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
-        let is_one_chain = self.budget == other.budget && chain_key(self) == chain_key(other);
-        let is_placed = has_place(self) && has_place(other);
-        is_one_chain && is_placed && start(self) < other.counted && start(other) < self.counted
+        let is_same_chain = self.budget == other.budget && chain_key(self) == chain_key(other);
+        let have_ranges = has_range(self) && has_range(other);
+        is_same_chain
+            && have_ranges
+            && range_start(self) < other.counted
+            && range_start(other) < self.counted
     }
 }
 
 /// A charge paid from what a takeover froze, or told again by a successor, has
 /// no place.
-fn has_place(record: &BillingRecord) -> bool {
+fn has_range(record: &BillingRecord) -> bool {
     record.counted != TokenCount::ZERO && record.counted != TokenCount::new(u64::MAX)
 }
 
@@ -111,7 +114,7 @@
     (&record.slot, record.tenure, is_float)
 }
 
-const fn start(record: &BillingRecord) -> TokenCount {
+const fn range_start(record: &BillingRecord) -> TokenCount {
     record.counted.saturating_sub(record.charged)
 }
 
@@ -124,28 +127,28 @@
         tenure: first.tenure,
         pool: first.pool,
     };
-    let mut note = |after, fault| {
+    let mut report = |after, fault| {
         gaps.push(ChainGap {
             chain: name.clone(),
             after,
             fault,
         });
     };
-    let mut reached = TokenCount::ZERO;
+    let mut covered = TokenCount::ZERO;
     for record in chain {
-        let begin = start(record);
-        if begin > reached {
-            note(reached, ChainFault::Missing(begin.saturating_sub(reached)));
-        } else if begin < reached {
-            note(begin, ChainFault::Doubled(reached.saturating_sub(begin)));
+        let start = range_start(record);
+        if start > covered {
+            report(covered, ChainFault::Missing(start.saturating_sub(covered)));
+        } else if start < covered {
+            report(start, ChainFault::Doubled(covered.saturating_sub(start)));
         }
-        reached = reached.max(record.counted);
+        covered = covered.max(record.counted);
     }
     let reported = reported(first, row);
-    if reported > reached {
-        note(
-            reached,
-            ChainFault::Trailing(reported.saturating_sub(reached)),
+    if reported > covered {
+        report(
+            covered,
+            ChainFault::Trailing(reported.saturating_sub(covered)),
         );
     }
 }
--- a/crates/guavawell-core/src/request/billing/doubt.rs
+++ b/crates/guavawell-core/src/request/billing/doubt.rs
@@ -30,7 +30,7 @@
 
 /// What the backend server's record says (`GET /v1/attempts/{attempt}`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EngineWord {
+pub enum EngineReport {
     /// It ran to its end.
     Done(StreamUsage),
     /// It waits or runs.
@@ -40,12 +40,12 @@
     /// It was never seen; it may still arrive.
     NeverSeen,
     /// The backend server does not answer.
-    Silent,
+    NoResponse,
 }
 
 /// What becomes of a request in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DoubtAnswer {
+pub enum DoubtResolution {
     /// Charge this much and give the rest back.
     Charge(TokenCount),
     /// Give the whole reservation back: it did not run, or not to its end.
@@ -66,15 +66,17 @@
 /// Decides a request in doubt by the engine's word; `None` where the backend
 /// server is not known.
 #[must_use]
-pub fn resolve_doubt(case: &DoubtCase, word: Option<EngineWord>) -> DoubtAnswer {
-    match word {
-        None | Some(EngineWord::Silent) => DoubtAnswer::Hold,
-        Some(EngineWord::Done(usage)) => DoubtAnswer::Charge(usage.total().min(case.reserved)),
-        Some(EngineWord::Cancelled(usage)) => DoubtAnswer::Release {
+pub fn resolve_doubt(case: &DoubtCase, report: Option<EngineReport>) -> DoubtResolution {
+    match report {
+        None | Some(EngineReport::NoResponse) => DoubtResolution::Hold,
+        Some(EngineReport::Done(usage)) => {
+            DoubtResolution::Charge(usage.total().min(case.reserved))
+        }
+        Some(EngineReport::Cancelled(usage)) => DoubtResolution::Release {
             unbilled: usage.total(),
         },
-        Some(EngineWord::NeverSeen) => DoubtAnswer::Cancel,
-        Some(EngineWord::Running) if case.abandoned => DoubtAnswer::Cancel,
-        Some(EngineWord::Running) => DoubtAnswer::Wait,
+        Some(EngineReport::NeverSeen) => DoubtResolution::Cancel,
+        Some(EngineReport::Running) if case.abandoned => DoubtResolution::Cancel,
+        Some(EngineReport::Running) => DoubtResolution::Wait,
     }
 }
--- a/crates/guavawell-core/src/request/billing/fold.rs
+++ b/crates/guavawell-core/src/request/billing/fold.rs
@@ -92,7 +92,7 @@
         let found = self
             .charges
             .binary_search_by(|charge| charge.identity.cmp(identity));
-        found.ok().map(|place| &self.charges[place])
+        found.ok().map(|index| &self.charges[index])
     }
 
     /// The tokens that stand as charged to a budget.
--- a/crates/guavawell-core/src/request/billing/refund.rs
+++ b/crates/guavawell-core/src/request/billing/refund.rs
@@ -67,11 +67,11 @@
         charges: &'a [BillingRecord],
     ) -> impl Iterator<Item = &'a BillingRecord> {
         charges.iter().filter(|record| {
-            let is_given = self
+            let is_refunded = self
                 .refunds
                 .iter()
                 .any(|entry| entry.attempt == record.attempt && entry.slot == record.slot);
-            record.attempt != self.kept && !is_given
+            record.attempt != self.kept && !is_refunded
         })
     }
 
--- a/crates/guavawell-core/src/request/billing/segment.rs
+++ b/crates/guavawell-core/src/request/billing/segment.rs
@@ -72,10 +72,10 @@
     let mut parts = text.strip_prefix(PREFIX)?.strip_prefix('/')?.splitn(3, '/');
     let shard = parts.next()?.parse().ok()?;
     let zone = parts.next()?.parse().ok()?;
-    let mut ends = parts.next()?.rsplitn(3, '-');
-    let sequence = ends.next()?.parse().ok()?;
-    let incarnation: IncarnationId = ends.next()?.parse().ok()?;
-    let instance = ends.next()?.parse().ok()?;
+    let mut parts_from_end = parts.next()?.rsplitn(3, '-');
+    let sequence = parts_from_end.next()?.parse().ok()?;
+    let incarnation: IncarnationId = parts_from_end.next()?.parse().ok()?;
+    let instance = parts_from_end.next()?.parse().ok()?;
     Some(SegmentName {
         slot: SlotId { zone, shard },
         router: InstanceLife {
@@ -119,12 +119,13 @@
 /// The first line that is no record.
 pub fn read_segment(body: &[u8]) -> Result<Vec<BillingRecord>, SegmentError> {
     let lines = body.split(|byte| *byte == b'\n').enumerate();
-    let full = lines.filter(|(_, line)| !line.is_empty());
-    full.map(|(place, line)| {
-        serde_json::from_slice(line).map_err(|error| SegmentError::BadRecord {
-            line: place + 1,
-            detail: error.to_string().into(),
+    let records = lines.filter(|(_, line)| !line.is_empty());
+    records
+        .map(|(index, line)| {
+            serde_json::from_slice(line).map_err(|error| SegmentError::BadRecord {
+                line: index + 1,
+                detail: error.to_string().into(),
+            })
         })
-    })
-    .collect()
+        .collect()
 }
--- a/crates/guavawell-core/src/request/billing/tests.rs
+++ b/crates/guavawell-core/src/request/billing/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_second_record_of_an_identity_charges_nothing_in_any_order() {
+fn a_second_charge_of_an_identity_becomes_a_refund_in_any_order() {
     let records = vec![
         record("k", 1, "tln-a", 30, 10),
         record("k", 1, "tln-a", 30, 10),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_audit_finds_every_kind_of_gap() {
+fn the_audit_finds_every_kind_of_difference() {
     let fold = fold_records(vec![
         record("k", 1, "tln-a", 30, 10),
         record("k", 2, "tln-b", 40, 20),
@@ -107,18 +107,18 @@
 }
 
 #[test]
-fn a_hole_or_an_overlap_in_a_chain_is_found() {
+fn a_gap_or_an_overlap_in_a_chain_is_found() {
     let paid = TokenCount::new(1_000);
     let row = BudgetRow::new("o".parse().unwrap(), paid, ManifestVersion::new(1));
-    let placed = |request, attempt, charged, counted| BillingRecord {
+    let with_counted = |request, attempt, charged, counted| BillingRecord {
         counted: TokenCount::new(counted),
         ..record(request, attempt, "tln-a", charged, counted)
     };
-    let whole = vec![
-        placed("c", 3, 0, 40),
-        placed("a", 1, 30, 30),
-        placed("b", 2, 10, 40),
-        placed("d", 4, 5, 45),
+    let complete = vec![
+        with_counted("c", 3, 0, 40),
+        with_counted("a", 1, 30, 30),
+        with_counted("b", 2, 10, 40),
+        with_counted("d", 4, 5, 45),
     ];
     let faults = |records: &[BillingRecord]| -> Vec<(u64, ChainFault)> {
         let gaps = audit_chains(&budget(), &row, records).gaps;
@@ -126,52 +126,57 @@
             .map(|gap| (gap.after.get(), gap.fault))
             .collect()
     };
-    assert_eq!(faults(&whole), []);
-    let mut told_twice = whole.clone();
-    told_twice.push(whole[2].clone());
-    assert_eq!(faults(&told_twice), []);
-    let mut lost = whole.clone();
+    assert_eq!(faults(&complete), []);
+    let mut repeated = complete.clone();
+    repeated.push(complete[2].clone());
+    assert_eq!(faults(&repeated), []);
+    let mut lost = complete.clone();
     lost.remove(2);
     let missing = ChainFault::Missing(TokenCount::new(10));
     assert_eq!(faults(&lost), [(30, missing)]);
-    let mut doubled = whole.clone();
-    doubled.push(placed("e", 9, 10, 40));
+    let mut doubled = complete.clone();
+    doubled.push(with_counted("e", 9, 10, 40));
     let overlap = ChainFault::Doubled(TokenCount::new(10));
     assert_eq!(faults(&doubled), [(30, overlap)]);
     let mut reported = row.clone();
     reported.grants.push(crate::budget::BudgetGrant {
         slot: slot("tln-a"),
-        tenure: whole[0].tenure,
+        tenure: complete[0].tenure,
         open: TokenCount::ZERO,
         reported: TokenCount::new(50),
         float_reported: TokenCount::ZERO,
         sequence: 1,
         demand: TokenCount::ZERO,
     });
-    let audit = audit_chains(&budget(), &reported, &whole);
+    let audit = audit_chains(&budget(), &reported, &complete);
     assert_eq!((audit.chains, audit.records), (1, 4));
     let tail = ChainFault::Trailing(TokenCount::new(5));
     assert_eq!(audit.gaps[0].fault, tail);
 }
 
 #[test]
-fn a_charge_that_a_former_holder_told_too_keeps_its_place_in_both_chains() {
+fn a_charge_recorded_by_two_holders_is_checked_in_both_chains() {
     let paid = TokenCount::new(1_000);
     let row = BudgetRow::new("o".parse().unwrap(), paid, ManifestVersion::new(1));
-    let placed = |request, tenure, counted| BillingRecord {
+    let with_counted = |request, tenure, counted| BillingRecord {
         tenure: SlotEpoch::new(tenure),
         counted: TokenCount::new(counted),
         ..record(request, counted.into(), "tln-a", 10, counted)
     };
     // The holder of tenure 1 lost the slot before its charge of `b` was
     // acknowledged, and told it; the holder of tenure 7 charged the attempt.
-    let former = placed("b", 1, 20);
+    let former = with_counted("b", 1, 20);
     let present = BillingRecord {
         tenure: SlotEpoch::new(7),
         counted: TokenCount::new(10),
         ..former.clone()
     };
-    let records = [placed("a", 1, 10), former, present, placed("c", 7, 20)];
+    let records = [
+        with_counted("a", 1, 10),
+        former,
+        present,
+        with_counted("c", 7, 20),
+    ];
     let audit = audit_chains(&budget(), &row, &records);
     assert_eq!(audit.gaps, []);
     assert_eq!((audit.chains, audit.records), (2, 4));
@@ -184,7 +189,7 @@
 }
 
 #[test]
-fn a_second_charge_is_given_back_only_once_the_row_holds_it() {
+fn a_second_charge_is_refunded_only_once_the_row_includes_it() {
     let paid = TokenCount::new(1_000);
     let mut row = BudgetRow::new("o".parse().unwrap(), paid, ManifestVersion::new(1));
     let charge = BillingRecord {
@@ -206,9 +211,9 @@
     assert_eq!(row.refund(&charge), Err(RowError::NotReported));
     row.grants[0].reported = TokenCount::new(40);
     row.settled = TokenCount::new(40);
-    let given = row.refund(&charge).unwrap();
+    let refunded_row = row.refund(&charge).unwrap();
     assert_eq!(
-        (given.settled, given.refunded),
+        (refunded_row.settled, refunded_row.refunded),
         (TokenCount::ZERO, charge.tokens)
     );
     row.grants[0].tenure = SlotEpoch::new(9);
@@ -226,24 +231,28 @@
 }
 
 #[test]
-fn the_charge_that_stands_is_decided_once() {
-    let late = record("k", 2, "tln-b", 40, 20);
-    let early = record("k", 1, "tln-a", 30, 10);
-    let first = RefundRow::first(std::slice::from_ref(&late)).unwrap();
-    assert_eq!(first.kept, late.attempt);
-    let both = [early.clone(), late];
+fn the_charge_that_is_kept_is_decided_once() {
+    let later = record("k", 2, "tln-b", 40, 20);
+    let earlier = record("k", 1, "tln-a", 30, 10);
+    let first = RefundRow::first(std::slice::from_ref(&later)).unwrap();
+    assert_eq!(first.kept, later.attempt);
+    let both = [earlier.clone(), later];
     let open: Vec<&BillingRecord> = first.open(&both).collect();
-    assert_eq!(open, [&early], "an earlier charge that is read later goes");
-    let row = first.with(&early, ClockTime::from_millis(5));
+    assert_eq!(
+        open,
+        [&earlier],
+        "an earlier charge that is read later goes"
+    );
+    let row = first.with(&earlier, ClockTime::from_millis(5));
     assert_eq!(row.open(&both).count(), 0);
 }
 
 #[test]
-fn a_window_finds_second_charges_and_forgets() {
+fn a_window_finds_second_charges_and_evicts_old_ones() {
     let at = ClockTime::from_millis;
     let policy = WindowPolicy {
-        span: ClockSpan::from_millis(100),
-        most: 3,
+        retention: ClockSpan::from_millis(100),
+        max_charges: 3,
     };
     let mut window = ChargeWindow::new(policy);
     let first = record("k", 1, "tln-a", 30, 10);
@@ -264,25 +273,31 @@
 /// Guards against tokens that nobody paid: a record that repeats the place of
 /// another one would be given back, though the budget's row was charged once.
 #[test]
-fn a_charge_that_lies_over_another_is_known() {
-    let placed = |attempt, tenure, charged, counted| BillingRecord {
+fn overlapping_charges_are_detected() {
+    let with_counted = |attempt, tenure, charged, counted| BillingRecord {
         tenure: SlotEpoch::new(tenure),
         counted: TokenCount::new(counted),
         ..record("k", attempt, "tln-a", charged, 0)
     };
-    let first = placed(1, 1, 30, 30);
+    let first = with_counted(1, 1, 30, 30);
     let mut window = ChargeWindow::default();
     window.add(vec![first.clone()], ClockTime::from_millis(0));
     let is_overlapped = |record: &BillingRecord| window.is_overlapped(record);
     assert!(!is_overlapped(&first), "the same charge");
-    assert!(is_overlapped(&placed(2, 1, 30, 30)), "the same place");
-    assert!(is_overlapped(&placed(2, 1, 10, 35)), "a part of it");
-    assert!(!is_overlapped(&placed(2, 1, 30, 60)), "the next place");
-    assert!(!is_overlapped(&placed(2, 2, 30, 30)), "another tenure");
-    assert!(!is_overlapped(&placed(2, 1, 30, 0)), "no place");
+    assert!(is_overlapped(&with_counted(2, 1, 30, 30)), "the same place");
+    assert!(is_overlapped(&with_counted(2, 1, 10, 35)), "a part of it");
+    assert!(
+        !is_overlapped(&with_counted(2, 1, 30, 60)),
+        "the next place"
+    );
+    assert!(
+        !is_overlapped(&with_counted(2, 2, 30, 30)),
+        "another tenure"
+    );
+    assert!(!is_overlapped(&with_counted(2, 1, 30, 0)), "no place");
     let float = BillingRecord {
         pool: TokenPool::Float,
-        ..placed(2, 1, 30, 30)
+        ..with_counted(2, 1, 30, 30)
     };
     assert!(!is_overlapped(&float), "another pool");
 }
@@ -290,8 +305,8 @@
 #[test]
 fn records_stay_until_their_segment_is_durable() {
     let policy = JournalPolicy {
-        most_records: 2,
-        longest_wait: ClockSpan::from_millis(100),
+        max_records: 2,
+        max_wait: ClockSpan::from_millis(100),
     };
     let at = ClockTime::from_millis;
     let mut buffer = JournalBuffer::new(policy, slot("tln-a"), router());
@@ -304,8 +319,8 @@
     buffer.add(record("c", 3, "tln-a", 1, 0), at(102));
     assert_eq!(buffer.next(at(103)), Some(&first));
     assert_eq!(buffer.backlog(), 3);
-    assert_eq!(buffer.written(&first.name).len(), 1);
-    assert_eq!(buffer.written(&first.name).len(), 0);
+    assert_eq!(buffer.take_written(&first.name).len(), 1);
+    assert_eq!(buffer.take_written(&first.name).len(), 0);
     let second = buffer.next(at(103)).unwrap().clone();
     assert_eq!(second.records.len(), 2);
     buffer.rename(&second.name);
@@ -343,7 +358,7 @@
 }
 
 #[test]
-fn a_doubt_is_resolved_by_the_engines_word_and_never_above_the_reservation() {
+fn a_request_in_doubt_is_charged_by_the_engines_report_up_to_its_reservation() {
     let usage = |completion| StreamUsage {
         prompt_tokens: TokenCount::new(10),
         completion_tokens: TokenCount::new(completion),
@@ -358,21 +373,21 @@
         abandoned: false,
     };
     let cases = [
-        (None, DoubtAnswer::Hold),
-        (Some(EngineWord::Silent), DoubtAnswer::Hold),
-        (Some(EngineWord::NeverSeen), DoubtAnswer::Cancel),
-        (Some(EngineWord::Running), DoubtAnswer::Wait),
+        (None, DoubtResolution::Hold),
+        (Some(EngineReport::NoResponse), DoubtResolution::Hold),
+        (Some(EngineReport::NeverSeen), DoubtResolution::Cancel),
+        (Some(EngineReport::Running), DoubtResolution::Wait),
         (
-            Some(EngineWord::Done(usage(5))),
-            DoubtAnswer::Charge(TokenCount::new(15)),
+            Some(EngineReport::Done(usage(5))),
+            DoubtResolution::Charge(TokenCount::new(15)),
         ),
         (
-            Some(EngineWord::Done(usage(500))),
-            DoubtAnswer::Charge(TokenCount::new(50)),
+            Some(EngineReport::Done(usage(500))),
+            DoubtResolution::Charge(TokenCount::new(50)),
         ),
         (
-            Some(EngineWord::Cancelled(usage(2))),
-            DoubtAnswer::Release {
+            Some(EngineReport::Cancelled(usage(2))),
+            DoubtResolution::Release {
                 unbilled: TokenCount::new(12),
             },
         ),
@@ -382,7 +397,7 @@
     }
     case.abandoned = true;
     assert_eq!(
-        resolve_doubt(&case, Some(EngineWord::Running)),
-        DoubtAnswer::Cancel
+        resolve_doubt(&case, Some(EngineReport::Running)),
+        DoubtResolution::Cancel
     );
 }
--- a/crates/guavawell-core/src/request/billing/window.rs
+++ b/crates/guavawell-core/src/request/billing/window.rs
@@ -10,22 +10,22 @@
 pub struct WindowPolicy {
     /// How long a charge is remembered after it was read; a second charge that
     /// comes later is found by an audit only.
-    pub span: ClockSpan,
+    pub retention: ClockSpan,
     /// Most charges remembered; those read first go first, a segment at once.
-    pub most: usize,
+    pub max_charges: usize,
 }
 
 impl Default for WindowPolicy {
     fn default() -> Self {
         Self {
-            span: ClockSpan::from_millis(6 * 3_600_000),
-            most: 200_000,
+            retention: ClockSpan::from_millis(6 * 3_600_000),
+            max_charges: 200_000,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct SeenCharge {
+struct WindowCharge {
     read_at: ClockTime,
     /// When a conflict that it is part of is looked at next.
     due_at: ClockTime,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChargeWindow {
     policy: WindowPolicy,
-    seen: Vec<SeenCharge>,
+    seen: Vec<WindowCharge>,
 }
 
 impl ChargeWindow {
@@ -51,25 +51,26 @@
 
     /// Takes the records of a segment; a charge told twice is kept once.
     pub fn add(&mut self, records: Vec<BillingRecord>, now: ClockTime) {
-        let fresh = records.into_iter().map(|record| SeenCharge {
+        let added = records.into_iter().map(|record| WindowCharge {
             read_at: now,
             due_at: now,
             record,
         });
-        self.seen.extend(fresh);
+        self.seen.extend(added);
         // Stable, so that the charge that was read first stays.
         self.seen
             .sort_by(|left, right| charge_key(&left.record).cmp(&charge_key(&right.record)));
         self.seen
             .dedup_by(|later, first| later.record.is_same_charge(&first.record));
-        self.forget(now);
+        self.evict(now);
     }
 
     /// Requests with several charges that are due, each with all of them.
     pub fn conflicts(&self, now: ClockTime) -> impl Iterator<Item = Vec<BillingRecord>> {
-        let same =
-            |left: &SeenCharge, right: &SeenCharge| left.record.identity == right.record.identity;
-        let is_due = move |group: &&[SeenCharge]| {
+        let same = |left: &WindowCharge, right: &WindowCharge| {
+            left.record.identity == right.record.identity
+        };
+        let is_due = move |group: &&[WindowCharge]| {
             group.len() > 1 && group.iter().any(|seen| seen.due_at <= now)
         };
         let groups = self.seen.chunk_by(same).filter(is_due);
@@ -108,17 +109,17 @@
         self.seen.is_empty()
     }
 
-    fn forget(&mut self, now: ClockTime) {
-        let span = self.policy.span;
-        self.seen.retain(|seen| now.since(seen.read_at) < span);
-        let beyond = self.seen.len().saturating_sub(self.policy.most);
-        if beyond == 0 {
+    fn evict(&mut self, now: ClockTime) {
+        let retention = self.policy.retention;
+        self.seen.retain(|seen| now.since(seen.read_at) < retention);
+        let excess = self.seen.len().saturating_sub(self.policy.max_charges);
+        if excess == 0 {
             return;
         }
         let mut times: Vec<ClockTime> = self.seen.iter().map(|seen| seen.read_at).collect();
         times.sort();
-        let newest_gone = times[beyond - 1];
-        self.seen.retain(|seen| seen.read_at > newest_gone);
+        let newest_evicted = times[excess - 1];
+        self.seen.retain(|seen| seen.read_at > newest_evicted);
     }
 }
 
--- a/crates/guavawell-core/src/request/chat/fault.rs
+++ b/crates/guavawell-core/src/request/chat/error.rs
@@ -4,7 +4,7 @@
 
 /// One thing wrong with a chat request's body.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ChatFault {
+pub enum ChatError {
     /// The body is larger than the limit.
     #[error("the body has {bytes} bytes, more than {limit}")]
     TooLarge {
@@ -18,7 +18,7 @@
     NotJson(Box<str>),
     /// A field stands twice, so that two readers may read two requests.
     #[error("`{0}` stands twice")]
-    Twice(Box<str>),
+    Duplicate(Box<str>),
     /// A field is missing.
     #[error("`{0}` is missing")]
     Missing(&'static str),
@@ -57,7 +57,7 @@
     ZeroOutput(&'static str),
     /// The output limit is larger than the router's.
     #[error("`{field}` is {asked}, more than {limit}")]
-    TooMuchOutput {
+    OutputTooLarge {
         /// The field.
         field: &'static str,
         /// The output limit asked for.
@@ -67,38 +67,38 @@
     },
     /// Both names of the output limit are given and differ.
     #[error("`max_tokens` and `max_completion_tokens` differ; send one of them")]
-    TwoOutputLimits,
+    ConflictingOutputLimits,
     /// More than one answer is asked for; each would have to be paid for.
     #[error("`n` must be 1")]
-    SeveralAnswers,
+    MultipleAnswers,
 }
 
 /// Everything wrong with a chat request's body.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.text())]
-pub struct ChatFaults {
+pub struct ChatErrors {
     /// The faults, in the order in which they were found; not empty.
-    pub faults: Vec<ChatFault>,
+    pub errors: Vec<ChatError>,
 }
 
-impl ChatFaults {
+impl ChatErrors {
     /// Whether the body's size is what is wrong.
     #[must_use]
     pub fn is_too_large(&self) -> bool {
-        let large = |fault: &ChatFault| matches!(fault, ChatFault::TooLarge { .. });
-        self.faults.iter().any(large)
+        let is_too_large = |error: &ChatError| matches!(error, ChatError::TooLarge { .. });
+        self.errors.iter().any(is_too_large)
     }
 
     fn text(&self) -> String {
-        let texts: Vec<String> = self.faults.iter().map(ToString::to_string).collect();
+        let texts: Vec<String> = self.errors.iter().map(ToString::to_string).collect();
         texts.join("; ")
     }
 }
 
-impl From<ChatFault> for ChatFaults {
-    fn from(fault: ChatFault) -> Self {
+impl From<ChatError> for ChatErrors {
+    fn from(error: ChatError) -> Self {
         Self {
-            faults: vec![fault],
+            errors: vec![error],
         }
     }
 }
--- a/crates/guavawell-core/src/request/chat/field.rs
+++ b/crates/guavawell-core/src/request/chat/field.rs
@@ -28,12 +28,12 @@
     }
 
     /// The names that stand more than once.
-    pub fn doubled(&self) -> impl Iterator<Item = &str> {
+    pub fn duplicates(&self) -> impl Iterator<Item = &str> {
         let fields = self.0.iter().enumerate();
         fields.filter_map(|(place, field)| {
-            let before = &self.0[..place];
-            let twice = before.iter().any(|other| other.name == field.name);
-            twice.then_some(&*field.name)
+            let earlier = &self.0[..place];
+            let is_duplicate = earlier.iter().any(|other| other.name == field.name);
+            is_duplicate.then_some(&*field.name)
         })
     }
 }
--- a/crates/guavawell-core/src/request/chat/mod.rs
+++ b/crates/guavawell-core/src/request/chat/mod.rs
@@ -4,12 +4,12 @@
 //! output limit). Other fields are kept as their own bytes and sent on; they
 //! are never interpreted.
 
-mod ask;
-mod fault;
+mod error;
 mod field;
 mod prompt;
+mod request;
 
-pub use ask::ChatAsk;
-pub use ask::ChatLimits;
-pub use fault::ChatFault;
-pub use fault::ChatFaults;
+pub use error::ChatError;
+pub use error::ChatErrors;
+pub use request::ChatLimits;
+pub use request::ChatRequest;
--- a/crates/guavawell-core/src/request/chat/prompt.rs
+++ b/crates/guavawell-core/src/request/chat/prompt.rs
@@ -5,14 +5,14 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use super::fault::ChatFault;
+use super::error::ChatError;
 use crate::id::TokenCount;
 
 /// Bytes of message contents that make one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// Bytes kept of a prompt's head.
-const HEAD_BYTES: usize = 64;
+const MAX_HEAD_BYTES: usize = 64;
 
 /// What the router needs of a prompt.
 #[derive(Debug, Default)]
@@ -31,8 +31,8 @@
 
     fn add(&mut self, text: &str) {
         self.bytes += text.len() as u64;
-        let missing = HEAD_BYTES - self.head.len();
-        let part = &text.as_bytes()[..text.len().min(missing)];
+        let remaining = MAX_HEAD_BYTES - self.head.len();
+        let part = &text.as_bytes()[..text.len().min(remaining)];
         self.head.extend_from_slice(part);
     }
 }
@@ -61,30 +61,30 @@
 }
 
 /// The prompt of a list of messages, or what is wrong with them.
-pub(super) fn prompt_text(
+pub(super) fn parse_messages(
     messages: &RawValue,
     limit: usize,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> PromptText {
     let mut prompt = PromptText::default();
     let Ok(list) = serde_json::from_str::<Vec<&RawValue>>(messages.get()) else {
-        faults.push(ChatFault::WrongType {
+        errors.push(ChatError::WrongType {
             field: "messages",
             wanted: "a list",
         });
         return prompt;
     };
     if list.is_empty() {
-        faults.push(ChatFault::NoMessages);
+        errors.push(ChatError::NoMessages);
     }
     if list.len() > limit {
         let count = list.len();
-        faults.push(ChatFault::TooManyMessages { count, limit });
+        errors.push(ChatError::TooManyMessages { count, limit });
         return prompt;
     }
     for (place, message) in list.iter().enumerate() {
         if let Err(detail) = add_message(message, &mut prompt) {
-            faults.push(ChatFault::BadMessage { place, detail });
+            errors.push(ChatError::BadMessage { place, detail });
         }
     }
     prompt
--- a/crates/guavawell-core/src/request/chat/ask.rs
+++ b/crates/guavawell-core/src/request/chat/request.rs
@@ -5,16 +5,16 @@
 use serde::ser::Serializer;
 use serde_json::value::RawValue;
 
-use super::fault::ChatFault;
-use super::fault::ChatFaults;
+use super::error::ChatError;
+use super::error::ChatErrors;
 use super::field::BodyFields;
 use super::prompt::PromptText;
-use super::prompt::prompt_text;
+use super::prompt::parse_messages;
 use crate::id::ModelId;
 use crate::id::TokenCount;
 
 /// Fields that the router writes anew in the body that it sends on.
-const REWRITTEN: [&str; 4] = [
+const OVERRIDDEN_FIELDS: [&str; 4] = [
     "max_tokens",
     "max_completion_tokens",
     "stream",
@@ -47,7 +47,7 @@
 
 /// A checked chat request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChatAsk {
+pub struct ChatRequest {
     /// The model asked for.
     pub model: ModelId,
     /// Whether the caller wants the answer as a stream.
@@ -63,36 +63,36 @@
     pub engine_body: Vec<u8>,
 }
 
-impl ChatAsk {
+impl ChatRequest {
     /// Reads a whole body and checks it against `limits`.
     ///
     /// # Errors
     ///
     /// Every fault that was found.
-    pub fn parse(body: &[u8], limits: &ChatLimits) -> Result<Self, ChatFaults> {
+    pub fn parse(body: &[u8], limits: &ChatLimits) -> Result<Self, ChatErrors> {
         if body.len() > limits.max_body_bytes {
-            return Err(ChatFaults::from(ChatFault::TooLarge {
+            return Err(ChatErrors::from(ChatError::TooLarge {
                 bytes: body.len(),
                 limit: limits.max_body_bytes,
             }));
         }
         let fields: BodyFields<'_> = serde_json::from_slice(body)
-            .map_err(|error| ChatFault::NotJson(error.to_string().into()))?;
+            .map_err(|error| ChatError::NotJson(error.to_string().into()))?;
         Self::check(&fields, limits)
     }
 
-    fn check(fields: &BodyFields<'_>, limits: &ChatLimits) -> Result<Self, ChatFaults> {
-        let mut faults: Vec<ChatFault> = fields
-            .doubled()
-            .map(|name| ChatFault::Twice(name.into()))
+    fn check(fields: &BodyFields<'_>, limits: &ChatLimits) -> Result<Self, ChatErrors> {
+        let mut errors: Vec<ChatError> = fields
+            .duplicates()
+            .map(|name| ChatError::Duplicate(name.into()))
             .collect();
-        let model = read_model(fields, &mut faults);
-        let prompt = read_prompt(fields, limits, &mut faults);
-        let output = read_output(fields, limits, &mut faults);
-        let stream = read_flag(fields, "stream", &mut faults);
-        check_answers(fields, &mut faults);
+        let model = parse_model(fields, &mut errors);
+        let prompt = parse_prompt(fields, limits, &mut errors);
+        let output = parse_output_limit(fields, limits, &mut errors);
+        let stream = parse_flag(fields, "stream", &mut errors);
+        check_answer_count(fields, &mut errors);
         match model {
-            Some(model) if faults.is_empty() => Ok(Self {
+            Some(model) if errors.is_empty() => Ok(Self {
                 model,
                 stream,
                 prompt: prompt.tokens(),
@@ -100,7 +100,7 @@
                 output,
                 engine_body: engine_body(fields, output),
             }),
-            _ => Err(ChatFaults { faults }),
+            _ => Err(ChatErrors { errors }),
         }
     }
 
@@ -111,75 +111,75 @@
     }
 }
 
-fn read<'a, T: Deserialize<'a>>(
+fn parse_value<'a, T: Deserialize<'a>>(
     value: &'a RawValue,
     field: &'static str,
     wanted: &'static str,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> Option<T> {
     let parsed = serde_json::from_str(value.get());
     if parsed.is_err() {
-        faults.push(ChatFault::WrongType { field, wanted });
+        errors.push(ChatError::WrongType { field, wanted });
     }
     parsed.ok()
 }
 
-fn read_model(fields: &BodyFields<'_>, faults: &mut Vec<ChatFault>) -> Option<ModelId> {
+fn parse_model(fields: &BodyFields<'_>, errors: &mut Vec<ChatError>) -> Option<ModelId> {
     let Some(value) = fields.value("model") else {
-        faults.push(ChatFault::Missing("model"));
+        errors.push(ChatError::Missing("model"));
         return None;
     };
-    let text: Box<str> = read(value, "model", "a text", faults)?;
+    let text: Box<str> = parse_value(value, "model", "a text", errors)?;
     match ModelId::try_from(text) {
         Ok(model) => Some(model),
         Err(error) => {
-            faults.push(ChatFault::BadModel(error.to_string().into()));
+            errors.push(ChatError::BadModel(error.to_string().into()));
             None
         }
     }
 }
 
-fn read_prompt(
+fn parse_prompt(
     fields: &BodyFields<'_>,
     limits: &ChatLimits,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> PromptText {
     if let Some(messages) = fields.value("messages") {
-        return prompt_text(messages, limits.max_messages, faults);
+        return parse_messages(messages, limits.max_messages, errors);
     }
-    faults.push(ChatFault::Missing("messages"));
+    errors.push(ChatError::Missing("messages"));
     PromptText::default()
 }
 
-fn read_output(
+fn parse_output_limit(
     fields: &BodyFields<'_>,
     limits: &ChatLimits,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> TokenCount {
-    let older = read_limit(fields, "max_tokens", limits, faults);
-    let newer = read_limit(fields, "max_completion_tokens", limits, faults);
+    let older = parse_token_limit(fields, "max_tokens", limits, errors);
+    let newer = parse_token_limit(fields, "max_completion_tokens", limits, errors);
     if let (Some(older), Some(newer)) = (older, newer)
         && older != newer
     {
-        faults.push(ChatFault::TwoOutputLimits);
+        errors.push(ChatError::ConflictingOutputLimits);
     }
     newer.or(older).unwrap_or(limits.default_output)
 }
 
-fn read_limit(
+fn parse_token_limit(
     fields: &BodyFields<'_>,
     field: &'static str,
     limits: &ChatLimits,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> Option<TokenCount> {
     let value = fields.value(field)?;
-    let asked: u64 = read(value, field, "a whole number", faults)?;
+    let asked: u64 = parse_value(value, field, "a whole number", errors)?;
     let limit = limits.max_output.get();
     if asked == 0 {
-        faults.push(ChatFault::ZeroOutput(field));
+        errors.push(ChatError::ZeroOutput(field));
     }
     if asked > limit {
-        faults.push(ChatFault::TooMuchOutput {
+        errors.push(ChatError::OutputTooLarge {
             field,
             asked,
             limit,
@@ -188,22 +188,22 @@
     Some(TokenCount::new(asked))
 }
 
-fn read_flag(fields: &BodyFields<'_>, field: &'static str, faults: &mut Vec<ChatFault>) -> bool {
+fn parse_flag(fields: &BodyFields<'_>, field: &'static str, errors: &mut Vec<ChatError>) -> bool {
     let value = fields.value(field);
     value
-        .and_then(|value| read(value, field, "true or false", faults))
+        .and_then(|value| parse_value(value, field, "true or false", errors))
         .unwrap_or(false)
 }
 
 /// Each further answer (`n`, or `best_of` of older interfaces) would cost its
 /// own output limit.
-fn check_answers(fields: &BodyFields<'_>, faults: &mut Vec<ChatFault>) {
-    let several = |name| {
+fn check_answer_count(fields: &BodyFields<'_>, errors: &mut Vec<ChatError>) {
+    let is_multiple = |name| {
         let value = fields.value(name);
         value.is_some_and(|value| value.get() != "1")
     };
-    if several("n") || several("best_of") {
-        faults.push(ChatFault::SeveralAnswers);
+    if is_multiple("n") || is_multiple("best_of") {
+        errors.push(ChatError::MultipleAnswers);
     }
 }
 
@@ -224,7 +224,7 @@
 ) -> Result<S::Ok, S::Error> {
     let mut map = serializer.serialize_map(None)?;
     for field in &fields.0 {
-        if !REWRITTEN.contains(&&*field.name) {
+        if !OVERRIDDEN_FIELDS.contains(&&*field.name) {
             map.serialize_entry(&*field.name, field.value)?;
         }
     }
--- a/crates/guavawell-core/src/request/claim/mod.rs
+++ b/crates/guavawell-core/src/request/claim/mod.rs
@@ -8,19 +8,19 @@
 //! `crate::retention` sweeps those of old generations, and every write names
 //! the generation that has to be in force.
 
-mod refuse;
+mod refusal;
 mod row;
 mod step;
 
-pub use refuse::run_or_refuse;
-pub use refuse::seal_refusal;
+pub use refusal::run_or_refuse;
+pub use refusal::seal_refusal;
 pub use row::ClaimRow;
 pub use row::ClaimState;
 pub use row::claim_key;
 pub use step::ClaimEffect;
-pub use step::ClaimEnd;
 pub use step::ClaimEvent;
 pub use step::ClaimGoal;
+pub use step::ClaimOutcome;
 pub use step::ClaimStep;
 
 use super::identity::RequestIdentity;
--- a/crates/guavawell-core/src/request/claim/refuse.rs
+++ b/crates/guavawell-core/src/request/claim/refusal.rs
@@ -3,7 +3,7 @@
 use crate::clock::ClockSpan;
 use crate::request::attempt::UnsentAttempt;
 use crate::request::claim::row::ClaimRow;
-use crate::request::claim::step::ClaimEnd;
+use crate::request::claim::step::ClaimOutcome;
 use crate::request::claim::step::ClaimStep;
 use crate::request::reason::RefusalReason;
 use crate::request::refusal::Refusal;
@@ -19,12 +19,12 @@
     unsent: UnsentAttempt,
     retry_after: ClockSpan,
 ) -> Result<UnsentAttempt, Refusal> {
-    match step.end() {
-        Some(ClaimEnd::Held { .. }) => Ok(unsent),
-        Some(ClaimEnd::Sealed) => Err(sealed(step, unsent, RefusalReason::Sealed)),
-        Some(ClaimEnd::TakenBy(row)) => Err(taken(row)),
-        Some(ClaimEnd::Forgotten) => Err(forgotten()),
-        Some(ClaimEnd::Outlived) => {
+    match step.outcome() {
+        Some(ClaimOutcome::Held { .. }) => Ok(unsent),
+        Some(ClaimOutcome::Sealed) => Err(sealed_refusal(step, unsent, RefusalReason::Sealed)),
+        Some(ClaimOutcome::TakenBy(row)) => Err(taken_refusal(row)),
+        Some(ClaimOutcome::IdExpired) => Err(expired_refusal()),
+        Some(ClaimOutcome::TryExpired) => {
             let detail = "the try took longer than claims are kept; this try was not sent";
             Err(Refusal::retry(unsent, RefusalReason::Deadline, detail))
         }
@@ -44,22 +44,22 @@
     reason: RefusalReason,
     detail: &str,
 ) -> Refusal {
-    match step.end() {
-        Some(ClaimEnd::Sealed) => sealed(step, unsent, reason),
-        Some(ClaimEnd::TakenBy(row)) => taken(row),
-        Some(ClaimEnd::Forgotten) => forgotten(),
+    match step.outcome() {
+        Some(ClaimOutcome::Sealed) => sealed_refusal(step, unsent, reason),
+        Some(ClaimOutcome::TakenBy(row)) => taken_refusal(row),
+        Some(ClaimOutcome::IdExpired) => expired_refusal(),
         _ => Refusal::retry(unsent, reason, detail).inexact(),
     }
 }
 
-fn sealed(step: &ClaimStep, unsent: UnsentAttempt, reason: RefusalReason) -> Refusal {
+fn sealed_refusal(step: &ClaimStep, unsent: UnsentAttempt, reason: RefusalReason) -> Refusal {
     match step.seal_proof(unsent) {
         Ok(proof) => Refusal::not_run(&proof.into(), reason, "the request id is sealed"),
         Err(unsent) => Refusal::retry(unsent, reason, "this try was not sent").inexact(),
     }
 }
 
-fn taken(row: &ClaimRow) -> Refusal {
+fn taken_refusal(row: &ClaimRow) -> Refusal {
     let detail = format!(
         "attempt {} of router {} holds the request id",
         row.attempt, row.router.instance
@@ -67,7 +67,7 @@
     Refusal::unknown(RefusalReason::AlreadyRan, detail)
 }
 
-fn forgotten() -> Refusal {
+fn expired_refusal() -> Refusal {
     let detail = "the id is older than claims are kept; nobody can tell whether it ran";
     Refusal::unknown(RefusalReason::IdExpired, detail)
 }
--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -12,7 +12,7 @@
 use crate::retention::TryStart;
 
 /// Most writes of one step; each one but the first follows a read-back.
-const MAX_WRITES: u8 = 3;
+const MAX_WRITE_ATTEMPTS: u8 = 3;
 
 /// What a step wants of the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -43,7 +43,7 @@
     /// A read back found no row, or a condition failed without one.
     Absent,
     /// The write may have been applied.
-    Lost,
+    Unanswered,
     /// The write was certainly not applied, or the read back gave no answer.
     Failed,
     /// The write was not applied, because another generation is in force.
@@ -69,12 +69,12 @@
     /// Read the row.
     ReadBack,
     /// The step is over.
-    Done(ClaimEnd),
+    Done(ClaimOutcome),
 }
 
 /// How a step ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum ClaimEnd {
+pub enum ClaimOutcome {
     /// The attempt holds the claim, and it alone may run.
     Held {
         /// The claim's revision.
@@ -91,9 +91,9 @@
     /// A write may have been applied, or may still be.
     Undecided,
     /// The try took so long that a claim of its id may have been swept since.
-    Outlived,
+    TryExpired,
     /// The id is so old, by its caller's word, that its claim may have been swept.
-    Forgotten,
+    IdExpired,
 }
 
 /// One attempt's way through claim, seal or release.
@@ -107,7 +107,7 @@
     expected: u64,
     writes: u8,
     in_doubt: bool,
-    end: Option<ClaimEnd>,
+    outcome: Option<ClaimOutcome>,
 }
 
 impl ClaimStep {
@@ -143,7 +143,7 @@
             expected: 0,
             writes: 0,
             in_doubt: false,
-            end: None,
+            outcome: None,
         }
     }
 
@@ -152,32 +152,32 @@
     /// generation that is thought to be in force.
     pub fn start(&mut self, revision: u64, current: ClaimGeneration) -> ClaimEffect {
         self.expected = revision;
-        self.enter(current)
+        self.continue_in(current)
     }
 
     /// The effect that follows an event.
     pub fn on(&mut self, event: ClaimEvent) -> ClaimEffect {
         match event {
-            ClaimEvent::Written { revision } => self.done(self.reached(revision)),
+            ClaimEvent::Written { revision } => self.done(self.success_outcome(revision)),
             ClaimEvent::Found { row, revision } => self.found(row, revision),
             ClaimEvent::Absent => self.absent(),
-            ClaimEvent::Lost => {
+            ClaimEvent::Unanswered => {
                 self.in_doubt = true;
                 ClaimEffect::ReadBack
             }
-            ClaimEvent::Failed => self.done(self.not_reached()),
-            ClaimEvent::Stale { current } => self.enter(current),
+            ClaimEvent::Failed => self.done(self.failure_outcome()),
+            ClaimEvent::Stale { current } => self.continue_in(current),
         }
     }
 
     /// Goes on in the generation in force, unless a claim of the id that the
     /// caller may count on could be gone by now.
-    fn enter(&mut self, current: ClaimGeneration) -> ClaimEffect {
+    fn continue_in(&mut self, current: ClaimGeneration) -> ClaimEffect {
         if self.start.is_forgotten(current) {
-            return self.done(ClaimEnd::Forgotten);
+            return self.done(ClaimOutcome::IdExpired);
         }
         if !self.start.may_write(current) {
-            return self.done(self.outlived());
+            return self.done(self.expiry_outcome());
         }
         self.generation = current;
         self.write(self.expected)
@@ -188,25 +188,29 @@
         match (self.expected, self.goal) {
             (0, _) => self.write(0),
             // A swept claim is gone for good: no write of it is under way.
-            (_, ClaimGoal::Release) => self.done(ClaimEnd::Released),
-            _ => self.done(self.outlived()),
+            (_, ClaimGoal::Release) => self.done(ClaimOutcome::Released),
+            _ => self.done(self.expiry_outcome()),
         }
     }
 
     fn found(&mut self, row: ClaimRow, revision: u64) -> ClaimEffect {
-        let own = row.attempt == self.row.attempt;
+        let is_own = row.attempt == self.row.attempt;
         match (row.state, self.goal) {
-            (ClaimState::Sealed, _) => self.done(ClaimEnd::Sealed),
-            (ClaimState::Claimed, ClaimGoal::Run) if own => self.done(ClaimEnd::Held { revision }),
-            (ClaimState::Released, ClaimGoal::Release) if own => self.done(ClaimEnd::Released),
-            (ClaimState::Claimed, _) if !own => self.done(ClaimEnd::TakenBy(row)),
+            (ClaimState::Sealed, _) => self.done(ClaimOutcome::Sealed),
+            (ClaimState::Claimed, ClaimGoal::Run) if is_own => {
+                self.done(ClaimOutcome::Held { revision })
+            }
+            (ClaimState::Released, ClaimGoal::Release) if is_own => {
+                self.done(ClaimOutcome::Released)
+            }
+            (ClaimState::Claimed, _) if !is_own => self.done(ClaimOutcome::TakenBy(row)),
             (ClaimState::Claimed | ClaimState::Released, _) => self.write(revision),
         }
     }
 
     fn write(&mut self, expected: u64) -> ClaimEffect {
-        if self.writes == MAX_WRITES {
-            return self.done(self.not_reached());
+        if self.writes == MAX_WRITE_ATTEMPTS {
+            return self.done(self.failure_outcome());
         }
         self.writes += 1;
         self.expected = expected;
@@ -217,33 +221,33 @@
         }
     }
 
-    const fn reached(&self, revision: u64) -> ClaimEnd {
+    const fn success_outcome(&self, revision: u64) -> ClaimOutcome {
         match self.goal {
-            ClaimGoal::Run => ClaimEnd::Held { revision },
-            ClaimGoal::Seal => ClaimEnd::Sealed,
-            ClaimGoal::Release => ClaimEnd::Released,
+            ClaimGoal::Run => ClaimOutcome::Held { revision },
+            ClaimGoal::Seal => ClaimOutcome::Sealed,
+            ClaimGoal::Release => ClaimOutcome::Released,
         }
     }
 
-    const fn not_reached(&self) -> ClaimEnd {
+    const fn failure_outcome(&self) -> ClaimOutcome {
         if self.in_doubt {
-            ClaimEnd::Undecided
+            ClaimOutcome::Undecided
         } else {
-            ClaimEnd::Unreachable
+            ClaimOutcome::Unreachable
         }
     }
 
-    const fn outlived(&self) -> ClaimEnd {
+    const fn expiry_outcome(&self) -> ClaimOutcome {
         if self.in_doubt {
-            ClaimEnd::Undecided
+            ClaimOutcome::Undecided
         } else {
-            ClaimEnd::Outlived
+            ClaimOutcome::TryExpired
         }
     }
 
-    fn done(&mut self, end: ClaimEnd) -> ClaimEffect {
-        self.end = Some(end.clone());
-        ClaimEffect::Done(end)
+    fn done(&mut self, outcome: ClaimOutcome) -> ClaimEffect {
+        self.outcome = Some(outcome.clone());
+        ClaimEffect::Done(outcome)
     }
 
     /// The request.
@@ -260,8 +264,8 @@
 
     /// How the step ended, if it has.
     #[must_use]
-    pub const fn end(&self) -> Option<&ClaimEnd> {
-        self.end.as_ref()
+    pub const fn outcome(&self) -> Option<&ClaimOutcome> {
+        self.outcome.as_ref()
     }
 
     /// The proof that the request never runs, if the id is sealed; it consumes
@@ -272,7 +276,7 @@
     /// Gives the attempt back if the step did not end at a seal, or if the
     /// attempt is another one.
     pub fn seal_proof(&self, unsent: UnsentAttempt) -> Result<SealProof, UnsentAttempt> {
-        let sealed = self.end == Some(ClaimEnd::Sealed);
+        let sealed = self.outcome == Some(ClaimOutcome::Sealed);
         if sealed && unsent.id() == self.row.attempt {
             return Ok(SealProof::new(self.identity.clone()));
         }
--- a/crates/guavawell-core/src/request/digest.rs
+++ b/crates/guavawell-core/src/request/digest.rs
@@ -28,9 +28,9 @@
         hash.update(target.as_bytes());
         hash.update(body);
         let digest = hash.finalize();
-        let mut head = [0; 8];
-        head.copy_from_slice(&digest[..8]);
-        Self(u64::from_be_bytes(head))
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&digest[..8]);
+        Self(u64::from_be_bytes(prefix))
     }
 
     /// Wraps a plain number.
--- a/crates/guavawell-core/src/request/frame.rs
+++ b/crates/guavawell-core/src/request/frame.rs
@@ -36,7 +36,7 @@
 
 /// What to do with a frame that follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FrameStep {
+pub enum FrameAction {
     /// Relay its data to the caller.
     Chunk,
     /// Relay its data; it carries the usage.
@@ -47,7 +47,7 @@
 
 /// Why a frame ends its attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum FrameFault {
+pub enum FrameError {
     /// The id is not `<attempt>:<sequence>`.
     #[error("frame id `{0}` is not `<attempt>:<sequence>`")]
     BadId(Box<str>),
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrameCheck {
     attempt: AttemptId,
-    next: u64,
+    next_sequence: u64,
     usage: Option<StreamUsage>,
     ended: bool,
 }
@@ -102,7 +102,7 @@
     pub const fn new(attempt: AttemptId) -> Self {
         Self {
             attempt,
-            next: 0,
+            next_sequence: 0,
             usage: None,
             ended: false,
         }
@@ -112,52 +112,52 @@
     ///
     /// # Errors
     ///
-    /// A [`FrameFault`] for whatever does not follow.
-    pub fn accept(&mut self, id: &str, data: &str) -> Result<FrameStep, FrameFault> {
+    /// A [`FrameError`] for whatever does not follow.
+    pub fn accept(&mut self, id: &str, data: &str) -> Result<FrameAction, FrameError> {
         if self.ended {
-            return Err(FrameFault::AfterEnd);
+            return Err(FrameError::AfterEnd);
         }
         self.check_id(id)?;
         if data == END_MARKER {
-            let usage = self.usage.ok_or(FrameFault::NoUsage)?;
+            let usage = self.usage.ok_or(FrameError::NoUsage)?;
             self.ended = true;
-            return Ok(FrameStep::End(usage));
+            return Ok(FrameAction::End(usage));
         }
-        let step = self.chunk_step(data)?;
-        self.next += 1;
-        Ok(step)
+        let action = self.chunk_action(data)?;
+        self.next_sequence += 1;
+        Ok(action)
     }
 
-    fn check_id(&self, id: &str) -> Result<(), FrameFault> {
-        let (found, sequence) = parse_id(id).ok_or_else(|| FrameFault::BadId(id.into()))?;
+    fn check_id(&self, id: &str) -> Result<(), FrameError> {
+        let (found, sequence) = parse_id(id).ok_or_else(|| FrameError::BadId(id.into()))?;
         if found != self.attempt {
-            return Err(FrameFault::OtherAttempt {
+            return Err(FrameError::OtherAttempt {
                 expected: self.attempt,
                 found,
             });
         }
-        if sequence != self.next {
-            return Err(FrameFault::OutOfOrder {
-                expected: self.next,
+        if sequence != self.next_sequence {
+            return Err(FrameError::OutOfOrder {
+                expected: self.next_sequence,
                 found: sequence,
             });
         }
         Ok(())
     }
 
-    fn chunk_step(&mut self, data: &str) -> Result<FrameStep, FrameFault> {
+    fn chunk_action(&mut self, data: &str) -> Result<FrameAction, FrameError> {
         if !data.contains(USAGE_KEY) {
-            return Ok(FrameStep::Chunk);
+            return Ok(FrameAction::Chunk);
         }
         let chunk: UsageChunk = serde_json::from_str(data)
-            .map_err(|error| FrameFault::BadUsage(error.to_string().into()))?;
+            .map_err(|error| FrameError::BadUsage(error.to_string().into()))?;
         let Some(usage) = chunk.usage else {
-            return Ok(FrameStep::Chunk);
+            return Ok(FrameAction::Chunk);
         };
         if self.usage.replace(usage).is_some() {
-            return Err(FrameFault::SecondUsage);
+            return Err(FrameError::SecondUsage);
         }
-        Ok(FrameStep::Usage(usage))
+        Ok(FrameAction::Usage(usage))
     }
 
     /// The attempt whose stream this is.
@@ -168,21 +168,21 @@
 
     /// Whether the end marker came, so that the answer is whole.
     #[must_use]
-    pub const fn is_whole(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.ended
     }
 
     /// Frames accepted so far, the end marker not counted.
     #[must_use]
     pub const fn accepted(&self) -> u64 {
-        self.next
+        self.next_sequence
     }
 
     /// The `Last-Event-ID` that resumes the stream behind the last accepted
     /// frame; `None` to start at the first.
     #[must_use]
     pub fn last_event_id(&self) -> Option<Box<str>> {
-        let last = self.next.checked_sub(1)?;
+        let last = self.next_sequence.checked_sub(1)?;
         Some(format!("{}:{last}", self.attempt).into())
     }
 }
@@ -191,9 +191,9 @@
 /// taken: 32 hex digits, a colon and a plain number.
 fn parse_id(id: &str) -> Option<(AttemptId, u64)> {
     let (attempt, sequence) = id.split_once(':')?;
-    let hex = attempt.len() == 32 && attempt.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let plain = !sequence.is_empty() && sequence.bytes().all(|byte| byte.is_ascii_digit());
-    if !hex || !plain {
+    let is_hex = attempt.len() == 32 && attempt.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let is_decimal = !sequence.is_empty() && sequence.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_hex || !is_decimal {
         return None;
     }
     Some((attempt.parse().ok()?, sequence.parse().ok()?))
--- a/crates/guavawell-core/src/request/head/fault.rs
+++ b/crates/guavawell-core/src/request/head/error.rs
@@ -7,7 +7,7 @@
 
 /// One thing wrong with a request's head.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum HeadFault {
+pub enum HeaderError {
     /// The request id.
     #[error(transparent)]
     Identity(#[from] IdentityError),
@@ -31,14 +31,14 @@
 /// Everything wrong with a request's head.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.text())]
-pub struct HeadFaults {
+pub struct HeaderErrors {
     /// The faults, in the order of [`super::HeadFields`]; not empty.
-    pub faults: Vec<HeadFault>,
+    pub errors: Vec<HeaderError>,
 }
 
-impl HeadFaults {
+impl HeaderErrors {
     fn text(&self) -> String {
-        let texts: Vec<String> = self.faults.iter().map(ToString::to_string).collect();
+        let texts: Vec<String> = self.errors.iter().map(ToString::to_string).collect();
         texts.join("; ")
     }
 }
--- a/crates/guavawell-core/src/request/head/mod.rs
+++ b/crates/guavawell-core/src/request/head/mod.rs
@@ -3,10 +3,10 @@
 //! Owns the fields' forms and limits. Whether a budget or a key exists is not
 //! known here.
 
-mod fault;
-mod read;
+mod error;
+mod parse;
 
-pub use fault::HeadFault;
-pub use fault::HeadFaults;
-pub use read::HeadAsk;
-pub use read::HeadFields;
+pub use error::HeaderError;
+pub use error::HeaderErrors;
+pub use parse::HeadFields;
+pub use parse::ParsedHead;
--- a/crates/guavawell-core/src/request/head/read.rs
+++ b/crates/guavawell-core/src/request/head/parse.rs
@@ -1,7 +1,7 @@
 //! Reads a request's head.
 
-use super::fault::HeadFault;
-use super::fault::HeadFaults;
+use super::error::HeaderError;
+use super::error::HeaderErrors;
 use crate::clock::ClockSpan;
 use crate::id::BudgetId;
 use crate::id::ClaimGeneration;
@@ -31,7 +31,7 @@
 
 /// A checked head.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeadAsk {
+pub struct ParsedHead {
     /// Under what the request is claimed, run and billed.
     pub identity: RequestIdentity,
     /// Whether it may run more than once; `None` leaves it to the default.
@@ -43,10 +43,10 @@
     /// 0 to 9; higher goes first.
     pub priority: u8,
     /// The generation in which the id was first used, by its caller's word.
-    pub first: Option<ClaimGeneration>,
+    pub first_generation: Option<ClaimGeneration>,
 }
 
-impl HeadAsk {
+impl ParsedHead {
     /// Checks a head of `organisation`; `number`, drawn at random, becomes the
     /// request id if the caller sent none.
     ///
@@ -57,59 +57,63 @@
         organisation: OrganisationId,
         fields: HeadFields<'_>,
         number: u128,
-    ) -> Result<Self, HeadFaults> {
-        let mut faults = Vec::new();
+    ) -> Result<Self, HeaderErrors> {
+        let mut errors = Vec::new();
         let identity = match fields.idempotency_key {
             None => Some(RequestIdentity::mint(organisation, number)),
-            Some(text) => keep(
+            Some(text) => collect_error(
                 RequestIdentity::from_caller(organisation, text),
-                &mut faults,
+                &mut errors,
             ),
         };
-        let idempotent = read(fields.idempotent, HeadFault::Idempotent, &mut faults);
+        let idempotent = parse_field(fields.idempotent, HeaderError::Idempotent, &mut errors);
         let budget = match fields.budget.map(str::parse) {
             None => None,
-            Some(parsed) => keep(parsed.map_err(HeadFault::Budget), &mut faults),
+            Some(parsed) => collect_error(parsed.map_err(HeaderError::Budget), &mut errors),
         };
-        let deadline: Option<u64> = read(fields.deadline, HeadFault::Deadline, &mut faults);
-        let priority = read_priority(fields.priority, &mut faults);
-        let first = read(fields.generation, HeadFault::Generation, &mut faults);
+        let deadline: Option<u64> =
+            parse_field(fields.deadline, HeaderError::Deadline, &mut errors);
+        let priority = parse_priority(fields.priority, &mut errors);
+        let first_generation = parse_field(fields.generation, HeaderError::Generation, &mut errors);
         match identity {
-            Some(identity) if faults.is_empty() => Ok(Self {
+            Some(identity) if errors.is_empty() => Ok(Self {
                 identity,
                 idempotent,
                 budget,
                 deadline: deadline.map(ClockSpan::from_millis),
                 priority,
-                first,
+                first_generation,
             }),
-            _ => Err(HeadFaults { faults }),
+            _ => Err(HeaderErrors { errors }),
         }
     }
 }
 
-fn keep<T, E: Into<HeadFault>>(result: Result<T, E>, faults: &mut Vec<HeadFault>) -> Option<T> {
-    result.map_err(|error| faults.push(error.into())).ok()
+fn collect_error<T, E: Into<HeaderError>>(
+    result: Result<T, E>,
+    errors: &mut Vec<HeaderError>,
+) -> Option<T> {
+    result.map_err(|error| errors.push(error.into())).ok()
 }
 
-fn read<T: std::str::FromStr>(
+fn parse_field<T: std::str::FromStr>(
     text: Option<&str>,
-    fault: impl FnOnce(Box<str>) -> HeadFault,
-    faults: &mut Vec<HeadFault>,
+    make_error: impl FnOnce(Box<str>) -> HeaderError,
+    errors: &mut Vec<HeaderError>,
 ) -> Option<T> {
     let text = text?;
     let parsed = text.trim().parse();
     if parsed.is_err() {
-        faults.push(fault(text.into()));
+        errors.push(make_error(text.into()));
     }
     parsed.ok()
 }
 
-fn read_priority(text: Option<&str>, faults: &mut Vec<HeadFault>) -> u8 {
-    let priority: Option<u8> = read(text, HeadFault::Priority, faults);
+fn parse_priority(text: Option<&str>, errors: &mut Vec<HeaderError>) -> u8 {
+    let priority: Option<u8> = parse_field(text, HeaderError::Priority, errors);
     match priority {
         Some(priority) if priority > MAX_PRIORITY => {
-            faults.push(HeadFault::Priority(priority.to_string().into()));
+            errors.push(HeaderError::Priority(priority.to_string().into()));
             DEFAULT_PRIORITY
         }
         priority => priority.unwrap_or(DEFAULT_PRIORITY),
--- a/crates/guavawell-core/src/request/reason.rs
+++ b/crates/guavawell-core/src/request/reason.rs
@@ -81,7 +81,7 @@
 
     /// The reason as it stands in problem documents and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
             Self::Unauthorised => "unauthorised",
@@ -164,13 +164,13 @@
     /// A passing lack (overload, a leaving router) is not: callers' clients
     /// retry it with the same id, which a seal would refuse for ever.
     #[must_use]
-    pub const fn wants_seal(self) -> bool {
+    pub const fn should_seal(self) -> bool {
         matches!(self, Self::BudgetExhausted | Self::Deadline)
     }
 }
 
 impl fmt::Display for RefusalReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.word())
+        formatter.write_str(self.as_str())
     }
 }
--- a/crates/guavawell-core/src/request/refusal.rs
+++ b/crates/guavawell-core/src/request/refusal.rs
@@ -168,7 +168,7 @@
 impl RefusalOutcome {
     /// The outcome as it stands in problem documents and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
             Self::Retry => "retry",
@@ -179,7 +179,7 @@
 
 impl fmt::Display for RefusalOutcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(self.word())
+        formatter.write_str(self.as_str())
     }
 }
 
--- a/crates/guavawell-core/src/request/tests.rs
+++ b/crates/guavawell-core/src/request/tests.rs
@@ -1,8 +1,8 @@
 //! Tables of heads, bodies, frames and refusals.
 
+use super::FrameAction;
 use super::FrameCheck;
-use super::FrameFault;
-use super::FrameStep;
+use super::FrameError;
 use super::MintedProof;
 use super::ProblemDocument;
 use super::Refusal;
@@ -11,10 +11,10 @@
 use super::RequestIdentity;
 use super::StreamUsage;
 use super::UnsentAttempt;
-use super::chat::ChatAsk;
 use super::chat::ChatLimits;
-use super::head::HeadAsk;
+use super::chat::ChatRequest;
 use super::head::HeadFields;
+use super::head::ParsedHead;
 use crate::clock::ClockSpan;
 use crate::id::AttemptId;
 use crate::id::ClaimGeneration;
@@ -27,26 +27,26 @@
     "saaremaa".parse().unwrap()
 }
 
-fn chat(body: &str) -> Result<ChatAsk, String> {
-    ChatAsk::parse(body.as_bytes(), &ChatLimits::default()).map_err(|faults| faults.to_string())
+fn chat(body: &str) -> Result<ChatRequest, String> {
+    ChatRequest::parse(body.as_bytes(), &ChatLimits::default()).map_err(|errors| errors.to_string())
 }
 
 #[test]
-fn a_chat_body_is_checked_and_sent_on_with_its_unknown_fields() {
-    let ask = chat(
+fn a_chat_body_is_checked_and_forwarded_with_its_unknown_fields() {
+    let request = chat(
         r#"{"model":"m","temperature":0.50,"messages":[{"role":"user","content":"äb"},
         {"role":"assistant","content":null},
         {"role":"user","content":[{"type":"text","text":"xy"}],"name":"n"}],
         "max_completion_tokens":7,"stream":false,"stop":["a\u0062"]}"#,
     )
     .unwrap();
-    assert_eq!(ask.model.as_str(), "m");
-    assert!(!ask.stream);
-    assert_eq!(ask.prompt, TokenCount::new(2));
-    assert_eq!(ask.prompt_head, "äbxy".as_bytes());
-    assert_eq!(ask.output, TokenCount::new(7));
-    assert_eq!(ask.worst_case(), TokenCount::new(9));
-    let sent = String::from_utf8(ask.engine_body).unwrap();
+    assert_eq!(request.model.as_str(), "m");
+    assert!(!request.stream);
+    assert_eq!(request.prompt, TokenCount::new(2));
+    assert_eq!(request.prompt_head, "äbxy".as_bytes());
+    assert_eq!(request.output, TokenCount::new(7));
+    assert_eq!(request.worst_case(), TokenCount::new(9));
+    let sent = String::from_utf8(request.engine_body).unwrap();
     assert!(sent.contains(r#""temperature":0.50,"#), "{sent}");
     assert!(sent.contains(r#""stop":["a\u0062"]"#), "{sent}");
     let tail = r#""max_tokens":7,"stream":true,"stream_options":{"include_usage":true}}"#;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_prompts_head_ends_after_sixty_four_bytes() {
+fn the_prompt_head_ends_after_sixty_four_bytes() {
     let body = |first: &str, second: &str| {
         format!(
             r#"{{"model":"m","messages":[{{"role":"user","content":"{first}"}},
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn each_fault_of_a_chat_body_is_named() {
+fn each_error_in_a_chat_body_is_named() {
     let good = r#""messages":[{"role":"u","content":"x"}]"#;
     let cases = [
         ("", "the body is not a JSON object"),
@@ -135,18 +135,18 @@
 }
 
 #[test]
-fn a_body_beyond_the_limit_is_told_by_its_size() {
+fn a_body_over_the_size_limit_is_rejected_as_too_large() {
     let limits = ChatLimits {
         max_body_bytes: 4,
         ..ChatLimits::default()
     };
-    let faults = ChatAsk::parse(b"{    }", &limits).unwrap_err();
-    assert!(faults.is_too_large());
+    let errors = ChatRequest::parse(b"{    }", &limits).unwrap_err();
+    assert!(errors.is_too_large());
 }
 
 #[test]
 fn a_head_is_read_with_its_defaults() {
-    let head = HeadAsk::parse(organisation(), HeadFields::default(), 7).unwrap();
+    let head = ParsedHead::parse(organisation(), HeadFields::default(), 7).unwrap();
     assert!(head.identity.minted);
     assert_eq!((head.idempotent, head.priority), (None, 5));
     let fields = HeadFields {
@@ -157,16 +157,16 @@
         priority: Some("9"),
         generation: Some("12"),
     };
-    let head = HeadAsk::parse(organisation(), fields, 7).unwrap();
+    let head = ParsedHead::parse(organisation(), fields, 7).unwrap();
     assert!(!head.identity.minted);
     assert_eq!(head.idempotent, Some(false));
     assert_eq!(head.deadline, Some(ClockSpan::from_millis(250)));
     assert_eq!(head.priority, 9);
-    assert_eq!(head.first, Some(ClaimGeneration::new(12)));
+    assert_eq!(head.first_generation, Some(ClaimGeneration::new(12)));
 }
 
 #[test]
-fn every_fault_of_a_head_is_reported_together() {
+fn all_errors_in_a_head_are_reported_together() {
     let fields = HeadFields {
         idempotency_key: Some("minted:00"),
         idempotent: Some("no"),
@@ -175,8 +175,8 @@
         priority: Some("12"),
         generation: Some("tomorrow"),
     };
-    let faults = HeadAsk::parse(organisation(), fields, 7).unwrap_err();
-    assert_eq!(faults.faults.len(), 6, "{faults}");
+    let faults = ParsedHead::parse(organisation(), fields, 7).unwrap_err();
+    assert_eq!(faults.errors.len(), 6, "{faults}");
 }
 
 fn frame(sequence: u64) -> String {
@@ -187,38 +187,44 @@
     r#"{"choices":[],"usage":{"prompt_tokens":2,"completion_tokens":1,"total_tokens":3}}"#;
 
 #[test]
-fn a_whole_stream_is_accepted_and_can_be_resumed_anywhere() {
+fn a_complete_stream_is_accepted_and_can_be_resumed_at_any_frame() {
     let mut check = FrameCheck::new(ATTEMPT);
     assert_eq!(check.last_event_id(), None);
-    let feigned = r#"{"choices":[{"delta":{"content":"\"usage\":{}"}}],"usage":null}"#;
-    assert_eq!(check.accept(&frame(0), feigned), Ok(FrameStep::Chunk));
+    let fake_usage = r#"{"choices":[{"delta":{"content":"\"usage\":{}"}}],"usage":null}"#;
+    assert_eq!(check.accept(&frame(0), fake_usage), Ok(FrameAction::Chunk));
     assert_eq!(check.last_event_id().as_deref(), Some(&*frame(0)));
     let usage = StreamUsage {
         prompt_tokens: TokenCount::new(2),
         completion_tokens: TokenCount::new(1),
     };
-    assert_eq!(check.accept(&frame(1), USAGE), Ok(FrameStep::Usage(usage)));
-    assert!(!check.is_whole());
-    assert_eq!(check.accept(&frame(2), "[DONE]"), Ok(FrameStep::End(usage)));
-    assert!(check.is_whole());
+    assert_eq!(
+        check.accept(&frame(1), USAGE),
+        Ok(FrameAction::Usage(usage))
+    );
+    assert!(!check.is_complete());
+    assert_eq!(
+        check.accept(&frame(2), "[DONE]"),
+        Ok(FrameAction::End(usage))
+    );
+    assert!(check.is_complete());
     assert_eq!(usage.total(), TokenCount::new(3));
 }
 
 #[test]
-fn whatever_does_not_follow_ends_the_attempt() {
+fn an_invalid_frame_is_rejected() {
     let other = AttemptId::new(41);
-    let cases: [(&str, &str, FrameFault); 8] = [
-        ("", "{}", FrameFault::BadId("".into())),
-        ("2a:0", "{}", FrameFault::BadId("2a:0".into())),
+    let cases: [(&str, &str, FrameError); 8] = [
+        ("", "{}", FrameError::BadId("".into())),
+        ("2a:0", "{}", FrameError::BadId("2a:0".into())),
         (
             &format!("{ATTEMPT}:+0"),
             "{}",
-            FrameFault::BadId(format!("{ATTEMPT}:+0").into()),
+            FrameError::BadId(format!("{ATTEMPT}:+0").into()),
         ),
         (
             &format!("{other}:0"),
             "{}",
-            FrameFault::OtherAttempt {
+            FrameError::OtherAttempt {
                 expected: ATTEMPT,
                 found: other,
             },
@@ -226,43 +232,43 @@
         (
             &frame(1),
             "{}",
-            FrameFault::OutOfOrder {
+            FrameError::OutOfOrder {
                 expected: 0,
                 found: 1,
             },
         ),
-        (&frame(0), "[DONE]", FrameFault::NoUsage),
+        (&frame(0), "[DONE]", FrameError::NoUsage),
         (
             &format!("{ATTEMPT}:99999999999999999999999"),
             "{}",
-            FrameFault::BadId(format!("{ATTEMPT}:99999999999999999999999").into()),
+            FrameError::BadId(format!("{ATTEMPT}:99999999999999999999999").into()),
         ),
         (
             &frame(0),
             r#"{"usage":{"prompt_tokens":-1}}"#,
-            FrameFault::BadUsage(
+            FrameError::BadUsage(
                 "invalid value: integer `-1`, expected u64 at line 1 column 28".into(),
             ),
         ),
     ];
-    for (id, data, fault) in cases {
+    for (id, data, error) in cases {
         let mut check = FrameCheck::new(ATTEMPT);
-        assert_eq!(check.accept(id, data), Err(fault), "{id} {data}");
+        assert_eq!(check.accept(id, data), Err(error), "{id} {data}");
     }
     let mut check = FrameCheck::new(ATTEMPT);
     check.accept(&frame(0), "{}").unwrap();
     let again = check.accept(&frame(0), "{}");
-    assert!(matches!(again, Err(FrameFault::OutOfOrder { .. })));
+    assert!(matches!(again, Err(FrameError::OutOfOrder { .. })));
     check.accept(&frame(1), USAGE).unwrap();
-    assert_eq!(check.accept(&frame(2), USAGE), Err(FrameFault::SecondUsage));
+    assert_eq!(check.accept(&frame(2), USAGE), Err(FrameError::SecondUsage));
 }
 
 #[test]
-fn nothing_is_accepted_behind_the_end_marker() {
+fn no_frame_is_accepted_after_the_end_marker() {
     let mut check = FrameCheck::new(ATTEMPT);
     check.accept(&frame(0), USAGE).unwrap();
     check.accept(&frame(1), "[DONE]").unwrap();
-    assert_eq!(check.accept(&frame(2), "{}"), Err(FrameFault::AfterEnd));
+    assert_eq!(check.accept(&frame(2), "{}"), Err(FrameError::AfterEnd));
 }
 
 #[test]
@@ -280,7 +286,7 @@
 }
 
 #[test]
-fn a_problem_document_reads_as_the_protocol_says() {
+fn a_problem_document_has_the_fields_of_the_protocol() {
     let identity = RequestIdentity::from_caller(organisation(), "k").unwrap();
     let attempt = UnsentAttempt::new(ATTEMPT);
     let refusal = Refusal::retry(attempt, RefusalReason::BudgetUnreachable, "no holder")
@@ -300,11 +306,11 @@
 }
 
 #[test]
-fn each_reason_has_its_own_word_and_an_error_status() {
-    let mut words: Vec<&str> = RefusalReason::ALL.map(RefusalReason::word).to_vec();
-    words.sort_unstable();
-    words.dedup();
-    assert_eq!(words.len(), RefusalReason::ALL.len());
+fn each_reason_has_its_own_name_and_an_error_status() {
+    let mut names: Vec<&str> = RefusalReason::ALL.map(RefusalReason::as_str).to_vec();
+    names.sort_unstable();
+    names.dedup();
+    assert_eq!(names.len(), RefusalReason::ALL.len());
     for reason in RefusalReason::ALL {
         assert!((400..600).contains(&reason.status()), "{reason}");
         let json = serde_json::to_string(&reason).unwrap();
--- a/crates/guavawell-fleet/src/claim/batch.rs
+++ b/crates/guavawell-fleet/src/claim/batch.rs
@@ -116,7 +116,7 @@
         }
         Ok(answer) => tell_clashes(batch, &answer, known, book),
         Err(PlatformError::Lost(_)) => {
-            tell_all(batch, &ClaimEvent::Lost);
+            tell_all(batch, &ClaimEvent::Unanswered);
             Vec::new()
         }
         Err(_) => {
--- a/crates/guavawell-fleet/src/claim/driver.rs
+++ b/crates/guavawell-fleet/src/claim/driver.rs
@@ -13,9 +13,9 @@
 use guavawell_core::request::RequestIdentity;
 use guavawell_core::request::UnsentAttempt;
 use guavawell_core::request::claim::ClaimEffect;
-use guavawell_core::request::claim::ClaimEnd;
 use guavawell_core::request::claim::ClaimEvent;
 use guavawell_core::request::claim::ClaimGoal;
+use guavawell_core::request::claim::ClaimOutcome;
 use guavawell_core::request::claim::ClaimRow;
 use guavawell_core::request::claim::ClaimStep;
 use guavawell_core::request::claim::claim_key;
@@ -146,14 +146,14 @@
         };
         let mut step = self.step(identity, ClaimGoal::Run, attempt.id(), start);
         self.finish(&mut step, 0).await;
-        pending.is_open = step.end() == Some(&ClaimEnd::Undecided);
+        pending.is_open = step.outcome() == Some(&ClaimOutcome::Undecided);
         let retry_after = self.backoff.wait(1, Jitter(fastrand::u16(..)));
-        match step.end() {
-            Some(ClaimEnd::Held { revision }) => ClaimAnswer::Held(HeldClaim {
+        match step.outcome() {
+            Some(ClaimOutcome::Held { revision }) => ClaimAnswer::Held(HeldClaim {
                 attempt,
                 revision: *revision,
             }),
-            Some(ClaimEnd::TakenBy(row)) => ClaimAnswer::TakenBy {
+            Some(ClaimOutcome::TakenBy(row)) => ClaimAnswer::TakenBy {
                 row: row.clone(),
                 attempt,
             },
@@ -170,7 +170,7 @@
         start: TryStart,
         cause: &RefusalCause,
     ) -> Refusal {
-        let seals = needs_claim(identity, idempotent) && cause.reason.wants_seal();
+        let seals = needs_claim(identity, idempotent) && cause.reason.should_seal();
         let refusal = if seals {
             let step = self.step(identity, ClaimGoal::Seal, attempt.id(), start);
             self.seal(step, attempt, 0, cause).await
@@ -189,7 +189,7 @@
         cause: &RefusalCause,
     ) -> Refusal {
         let HeldClaim { attempt, revision } = claim;
-        if cause.reason.wants_seal() {
+        if cause.reason.should_seal() {
             let start = self.start_try();
             let step = self.step(identity, ClaimGoal::Seal, attempt.id(), start);
             let refusal = self.seal(step, attempt, revision, cause).await;
@@ -198,8 +198,8 @@
         let id = attempt.id();
         let step = self.release(identity, id, revision).await;
         if matches!(
-            step.end(),
-            Some(ClaimEnd::Undecided | ClaimEnd::Unreachable)
+            step.outcome(),
+            Some(ClaimOutcome::Undecided | ClaimOutcome::Unreachable)
         ) {
             self.release_later(identity, id);
         }
@@ -227,8 +227,11 @@
                 let wait = driver.backoff.wait(failures, Jitter(fastrand::u16(..)));
                 Timer::after(duration(wait)).await;
                 let step = driver.release(&identity, attempt, 0).await;
-                let end = step.end();
-                if !matches!(end, Some(ClaimEnd::Undecided | ClaimEnd::Unreachable)) {
+                let end = step.outcome();
+                if !matches!(
+                    end,
+                    Some(ClaimOutcome::Undecided | ClaimOutcome::Unreachable)
+                ) {
                     return;
                 }
             }
@@ -301,7 +304,7 @@
             return ClaimEvent::Failed;
         }
         // The task ends only with the process; a write then is in doubt.
-        answered.recv().await.unwrap_or(ClaimEvent::Lost)
+        answered.recv().await.unwrap_or(ClaimEvent::Unanswered)
     }
 
     async fn read(&self, identity: &RequestIdentity) -> ClaimEvent {
@@ -342,21 +345,21 @@
     }
 }
 
-fn count_end(goal: ClaimGoal, end: &ClaimEnd) {
+fn count_end(goal: ClaimGoal, end: &ClaimOutcome) {
     let goal = match goal {
         ClaimGoal::Run => "run",
         ClaimGoal::Seal => "seal",
         ClaimGoal::Release => "release",
     };
     let end = match end {
-        ClaimEnd::Held { .. } => "held",
-        ClaimEnd::Sealed => "sealed",
-        ClaimEnd::Released => "released",
-        ClaimEnd::TakenBy(_) => "taken",
-        ClaimEnd::Unreachable => "unreachable",
-        ClaimEnd::Undecided => "undecided",
-        ClaimEnd::Outlived => "outlived",
-        ClaimEnd::Forgotten => "forgotten",
+        ClaimOutcome::Held { .. } => "held",
+        ClaimOutcome::Sealed => "sealed",
+        ClaimOutcome::Released => "released",
+        ClaimOutcome::TakenBy(_) => "taken",
+        ClaimOutcome::Unreachable => "unreachable",
+        ClaimOutcome::Undecided => "undecided",
+        ClaimOutcome::TryExpired => "outlived",
+        ClaimOutcome::IdExpired => "forgotten",
     };
     metrics::counter!("guavawell_claim_steps_total", "goal" => goal, "end" => end).increment(1);
 }
--- a/crates/guavawell-fleet/src/journal/driver.rs
+++ b/crates/guavawell-fleet/src/journal/driver.rs
@@ -77,7 +77,7 @@
         let (queue, messages) = channel::unbounded();
         let backlog = Arc::new(AtomicUsize::new(0));
         let most_backlog = settings.most_backlog;
-        let longest_wait = settings.policy.longest_wait.as_millis();
+        let longest_wait = settings.policy.max_wait.as_millis();
         let longest_wait = Arc::new(AtomicU64::new(longest_wait));
         let writer = JournalWriter {
             objects,
@@ -178,10 +178,10 @@
 
     fn adjust_wait(&mut self) {
         let wait = ClockSpan::from_millis(self.longest_wait.load(Ordering::Relaxed));
-        if wait != self.settings.policy.longest_wait {
-            self.settings.policy.longest_wait = wait;
+        if wait != self.settings.policy.max_wait {
+            self.settings.policy.max_wait = wait;
             let buffers = self.buffers.iter_mut();
-            buffers.for_each(|buffer| buffer.set_longest_wait(wait));
+            buffers.for_each(|buffer| buffer.set_max_wait(wait));
         }
     }
 
@@ -243,7 +243,7 @@
             ObjectPut::Exists => self.objects.get(&key).await?.as_ref() == Some(&body),
         };
         if is_ours {
-            let records = self.buffers[place].written(&segment.name);
+            let records = self.buffers[place].take_written(&segment.name);
             self.backlog.fetch_sub(records.len(), Ordering::Relaxed);
             metrics::counter!("guavawell_journal_segments_total").increment(1);
             (self.on_durable)(records);
--- a/crates/guavawell-fleet/src/journal/fold.rs
+++ b/crates/guavawell-fleet/src/journal/fold.rs
@@ -168,7 +168,7 @@
             let outcome = refund_second_charges(table, charges).await?;
             given += outcome.given;
             let wait = if outcome.waiting == 0 {
-                self.settings.window.span
+                self.settings.window.retention
             } else {
                 self.settings.look_again
             };
@@ -195,7 +195,7 @@
             first.budget
         );
         self.window
-            .postpone(&first.identity, now + self.settings.window.span);
+            .postpone(&first.identity, now + self.settings.window.retention);
     }
 
     fn mark_place(&self, name: &SegmentName) -> Result<usize, usize> {
--- a/crates/guavawell-fleet/src/router/answer.rs
+++ b/crates/guavawell-fleet/src/router/answer.rs
@@ -48,8 +48,8 @@
 fn note_refusal(core: &RouterCore, identity: Option<&RequestIdentity>, refusal: &Refusal) {
     count_refusal(refusal);
     let mut event = EventDraft::new("request.refused")
-        .field("outcome", refusal.outcome().word())
-        .field("reason", refusal.reason().word());
+        .field("outcome", refusal.outcome().as_str())
+        .field("reason", refusal.reason().as_str());
     if let Some(identity) = identity {
         event = event
             .organisation(&identity.organisation)
--- a/crates/guavawell-fleet/src/router/attempt.rs
+++ b/crates/guavawell-fleet/src/router/attempt.rs
@@ -12,8 +12,8 @@
 use guavawell_core::backend::RouteTarget;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::BackendId;
+use guavawell_core::request::FrameAction;
 use guavawell_core::request::FrameCheck;
-use guavawell_core::request::FrameStep;
 use guavawell_core::request::Refusal;
 use guavawell_core::request::RefusalReason;
 use smol::Timer;
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct CheckedEvent {
     /// What to do with it.
-    pub step: FrameStep,
+    pub step: FrameAction,
     /// The event.
     pub event: EngineEvent,
 }
--- a/crates/guavawell-fleet/src/router/bill.rs
+++ b/crates/guavawell-fleet/src/router/bill.rs
@@ -46,7 +46,7 @@
         }
     };
     let policy = JournalPolicy {
-        longest_wait: settings.platform.segment_wait_ms,
+        max_wait: settings.platform.segment_wait_ms,
         ..JournalPolicy::default()
     };
     let settings = JournalSettings {
--- a/crates/guavawell-fleet/src/router/entry.rs
+++ b/crates/guavawell-fleet/src/router/entry.rs
@@ -8,8 +8,8 @@
 use guavawell_core::manifest::KeyHash;
 use guavawell_core::request::Refusal;
 use guavawell_core::request::RefusalReason;
-use guavawell_core::request::head::HeadAsk;
 use guavawell_core::request::head::HeadFields;
+use guavawell_core::request::head::ParsedHead;
 use guavawell_core::retention::TryStart;
 use http_types::Request;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct CallerEntry {
     /// The checked head.
-    pub head: HeadAsk,
+    pub head: ParsedHead,
     /// When this try of the request began.
     pub start: TryStart,
     /// The budget to draw on.
@@ -56,7 +56,7 @@
             generation: header(request, GENERATION_HEADER),
         };
         let id: OrganisationId = organisation.id.clone();
-        let head = HeadAsk::parse(id, fields, fastrand::u128(..)).map_err(|faults| {
+        let head = ParsedHead::parse(id, fields, fastrand::u128(..)).map_err(|faults| {
             Refusal::unattempted(RefusalReason::BadRequest, faults.to_string())
         })?;
         let budget = head
@@ -69,7 +69,7 @@
         }
         let start = TryStart {
             begun,
-            first: head.first,
+            first: head.first_generation,
         };
         Ok(Self {
             head,
--- a/crates/guavawell-fleet/src/router/orphan.rs
+++ b/crates/guavawell-fleet/src/router/orphan.rs
@@ -10,9 +10,9 @@
 use guavawell_core::manifest::BackendEntry;
 use guavawell_core::manifest::BackendKind;
 use guavawell_core::request::StreamUsage;
-use guavawell_core::request::billing::DoubtAnswer;
 use guavawell_core::request::billing::DoubtCase;
-use guavawell_core::request::billing::EngineWord;
+use guavawell_core::request::billing::DoubtResolution;
+use guavawell_core::request::billing::EngineReport;
 use guavawell_core::request::billing::resolve_doubt;
 use smol::Timer;
 
@@ -125,14 +125,16 @@
         abandoned: false,
     };
     match resolve_doubt(&case, Some(word_of(backend, held, record))) {
-        DoubtAnswer::Charge(tokens) => ResolvedAttempt::Done(tokens),
+        DoubtResolution::Charge(tokens) => ResolvedAttempt::Done(tokens),
         // Nobody got a whole answer of it.
-        DoubtAnswer::Release { .. } => ResolvedAttempt::NotRun,
-        DoubtAnswer::Cancel | DoubtAnswer::Wait | DoubtAnswer::Hold => ResolvedAttempt::InDoubt,
+        DoubtResolution::Release { .. } => ResolvedAttempt::NotRun,
+        DoubtResolution::Cancel | DoubtResolution::Wait | DoubtResolution::Hold => {
+            ResolvedAttempt::InDoubt
+        }
     }
 }
 
-fn word_of(backend: &BackendEntry, held: &HeldAttempt, record: &AttemptRecord) -> EngineWord {
+fn word_of(backend: &BackendEntry, held: &HeldAttempt, record: &AttemptRecord) -> EngineReport {
     let counted = StreamUsage {
         prompt_tokens: record.prompt_tokens,
         completion_tokens: record.completion_tokens,
@@ -140,14 +142,14 @@
     match record.state {
         // A service's calls cost what was reserved, not what it counts.
         AttemptState::Done if backend.kind == BackendKind::Service => {
-            EngineWord::Done(StreamUsage {
+            EngineReport::Done(StreamUsage {
                 prompt_tokens: held.amount,
                 completion_tokens: TokenCount::ZERO,
             })
         }
-        AttemptState::Done => EngineWord::Done(counted),
-        AttemptState::Cancelled => EngineWord::Cancelled(counted),
-        AttemptState::Queued | AttemptState::Running => EngineWord::Running,
+        AttemptState::Done => EngineReport::Done(counted),
+        AttemptState::Cancelled => EngineReport::Cancelled(counted),
+        AttemptState::Queued | AttemptState::Running => EngineReport::Running,
     }
 }
 
--- a/crates/guavawell-fleet/src/router/relay.rs
+++ b/crates/guavawell-fleet/src/router/relay.rs
@@ -8,7 +8,7 @@
 use guavawell_core::budget::SettleAsk;
 use guavawell_core::id::BackendId;
 use guavawell_core::id::TokenCount;
-use guavawell_core::request::FrameStep;
+use guavawell_core::request::FrameAction;
 use guavawell_core::request::Refusal;
 use guavawell_core::request::RefusalReason;
 use guavawell_core::request::StreamUsage;
@@ -101,7 +101,7 @@
     async fn gather(&mut self, batch: &mut Vec<Box<str>>) -> Result<Option<StreamUsage>, Refusal> {
         let mut next = Some(self.next().await?);
         while let Some(checked) = next {
-            if let FrameStep::End(usage) = checked.step {
+            if let FrameAction::End(usage) = checked.step {
                 return Ok(Some(usage));
             }
             batch.push(checked.event.data);
--- a/crates/guavawell-fleet/src/router/serve.rs
+++ b/crates/guavawell-fleet/src/router/serve.rs
@@ -17,7 +17,7 @@
 use guavawell_core::request::RefusalReason;
 use guavawell_core::request::RequestDigest;
 use guavawell_core::request::UnsentAttempt;
-use guavawell_core::request::chat::ChatAsk;
+use guavawell_core::request::chat::ChatRequest;
 use http_types::Body;
 use http_types::Method;
 use http_types::Request;
@@ -136,7 +136,7 @@
     entry: &CallerEntry,
     body: &[u8],
 ) -> Result<Response, Refusal> {
-    let ask = ChatAsk::parse(body, &core.chat)
+    let ask = ChatRequest::parse(body, &core.chat)
         .map_err(|faults| Refusal::unattempted(RefusalReason::BadRequest, faults.to_string()))?;
     let call = chat_call(view, entry, &ask)?;
     accepted(core, entry, ask.worst_case());
@@ -211,7 +211,7 @@
 fn chat_call(
     view: &FleetView,
     entry: &CallerEntry,
-    ask: &ChatAsk,
+    ask: &ChatRequest,
 ) -> Result<OutgoingCall, Refusal> {
     let choice = view.model_choice(&ask.model).ok_or_else(|| {
         let detail = format!("`{}` is no model of the manifest in force", ask.model);
--- a/crates/guavawell-fleet/src/router/tests.rs
+++ b/crates/guavawell-fleet/src/router/tests.rs
@@ -108,7 +108,7 @@
     assert_eq!(settings::admission(&defaults), AdmissionSettings::default());
     assert_eq!(
         segment_wait(&defaults.platform).least,
-        JournalPolicy::default().longest_wait
+        JournalPolicy::default().max_wait
     );
 }
 
--- a/crates/guavawell-fleet/tests/journal.rs
+++ b/crates/guavawell-fleet/tests/journal.rs
@@ -58,8 +58,8 @@
         };
         let settings = JournalSettings {
             policy: JournalPolicy {
-                most_records: 10,
-                longest_wait: ClockSpan::from_millis(3_600_000),
+                max_records: 10,
+                max_wait: ClockSpan::from_millis(3_600_000),
             },
             backoff: BackoffPolicy {
                 first: ClockSpan::from_millis(2),
