--- a/crates/guavawell-core/src/request/attempt.rs
+++ b/crates/guavawell-core/src/request/attempt.rs
@@ -1,22 +1,21 @@
-//! An attempt, with its type telling whether a byte of it may have left.
+//! Attempts, whose types tell whether any byte may have been sent.
 
 use crate::id::AttemptId;
 
 /// An attempt of which no byte has been sent to a backend server.
 ///
-/// There is one value for each attempt: it is neither cloned nor copied.
-/// Whoever sends gives it up with [`UnsentAttempt::send`]; whoever refuses
-/// gives it up to the refusal. So an attempt that was refused as not run can
-/// no longer be sent.
+/// Each attempt has a single value, which cannot be cloned or copied. Both
+/// [`UnsentAttempt::send`] and a refusal consume the value, so that an attempt
+/// that was refused as not run can no longer be sent.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UnsentAttempt(AttemptId);
 
-/// An attempt whose first byte has left, or is about to.
+/// An attempt whose first byte has been sent, or is about to be.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SentAttempt(AttemptId);
 
 impl UnsentAttempt {
-    /// A new attempt; call it once for each id drawn.
+    /// A new attempt. Call this only once for each attempt id.
     #[must_use]
     pub const fn new(id: AttemptId) -> Self {
         Self(id)
@@ -28,7 +27,7 @@
         self.0
     }
 
-    /// Gives up the knowledge that nothing was sent; call it before the first byte.
+    /// Marks the attempt as sent. Call this before sending the first byte.
     #[must_use]
     pub const fn send(self) -> SentAttempt {
         SentAttempt(self.0)
@@ -42,11 +41,12 @@
         self.0
     }
 
-    /// The attempt as unsent again, where the exchange proves that it did not run.
+    /// Turns the attempt back into an unsent one. Call this only if the
+    /// exchange proves that the attempt did not run.
     ///
-    /// That is so if no connection was made, if the backend server refused it
-    /// before running anything, or if it was cancelled there before it was
-    /// ever seen. A timeout or a reset proves nothing.
+    /// It does so if no connection was made, if the backend server rejected the
+    /// attempt before running anything, or if the attempt was cancelled there
+    /// before it arrived. A timeout or a connection reset proves nothing.
     #[must_use]
     pub const fn certainly_not_run(self) -> UnsentAttempt {
         UnsentAttempt(self.0)
--- a/crates/guavawell-core/src/request/billing/audit.rs
+++ b/crates/guavawell-core/src/request/billing/audit.rs
@@ -1,44 +1,45 @@
-//! Sums billing records and compares them with a budget's row.
+//! Compares the sums of billing records with a budget's row.
 
 use super::fold::BillingFold;
 use crate::budget::BudgetRow;
 use crate::id::BudgetId;
 use crate::id::TokenCount;
 
-/// How records and row differ.
+/// Difference between the billing records and the budget's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuditGap {
     /// They agree.
     None,
-    /// The row settled tokens that no record tells of: a segment is not
-    /// durable yet, or is lost.
+    /// The row settled tokens without a record: a segment is not durable yet,
+    /// or is lost.
     Unrecorded(TokenCount),
-    /// Records tell of tokens that a holder has not reported to the row yet;
-    /// they lie within its open grants.
+    /// Records contain tokens that a holder has not reported to the row yet.
+    /// The row's grants and frozen tokens cover them.
     Unreported(TokenCount),
-    /// Records tell of more tokens than the row's grants covered.
+    /// Records contain more tokens than the row's grants and frozen tokens
+    /// cover.
     Overdrawn(TokenCount),
 }
 
-/// One budget's audit.
+/// Result of the audit of one budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditResult {
     /// The budget.
     pub budget: BudgetId,
-    /// The sum paid.
+    /// Tokens that were paid for.
     pub paid: TokenCount,
-    /// Tokens that the row holds as settled.
+    /// Tokens that are settled in the row.
     pub settled: TokenCount,
-    /// Tokens of the charges that stand.
+    /// Tokens of the charges that are kept.
     pub charged: TokenCount,
-    /// Tokens charged a second time and not given back yet.
+    /// Tokens of repeated charges that were not refunded yet.
     pub owed: TokenCount,
-    /// How records and row differ.
+    /// Difference between the billing records and the budget's row.
     pub gap: AuditGap,
 }
 
-/// Audits one budget. `refunded` is what earlier refunds took out of the
-/// row's settled tokens.
+/// Audits one budget. `refunded` is the number of tokens that earlier refunds
+/// subtracted from the settled tokens of the row.
 #[must_use]
 pub fn audit_budget(
     budget: &BudgetId,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Tokens out with holders: granted or frozen, and not settled in the row.
+/// Tokens that are granted or frozen, and not settled in the row.
 fn outstanding(row: &BudgetRow) -> TokenCount {
     let open: TokenCount = row.grants.iter().map(|grant| grant.open).sum();
     let frozen: TokenCount = row.frozen.iter().map(|frozen| frozen.tokens).sum();
--- a/crates/guavawell-core/src/request/billing/buffer.rs
+++ b/crates/guavawell-core/src/request/billing/buffer.rs
@@ -1,4 +1,4 @@
-//! Records of one slot on their way to the object store.
+//! Buffers the billing records of one slot until the object store has them.
 
 use super::record::BillingRecord;
 use super::segment::JournalSegment;
@@ -11,7 +11,7 @@
 /// When a segment is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalPolicy {
-    /// Most records of a segment.
+    /// Largest number of records in a segment.
     pub max_records: usize,
     /// Longest time that a record waits for its segment to fill.
     pub max_wait: ClockSpan,
@@ -59,7 +59,7 @@
         &self.slot
     }
 
-    /// Another longest wait, also for the records that wait now.
+    /// Changes the longest wait, also for records that already wait.
     pub const fn set_max_wait(&mut self, wait: ClockSpan) {
         self.policy.max_wait = wait;
     }
@@ -75,8 +75,9 @@
         }
     }
 
-    /// The segment to write next, closing the open one if it is due. It stays
-    /// the next until [`JournalBuffer::take_written`] says that it is durable.
+    /// Returns the segment to write next, and closes the open one if it is due.
+    /// The segment stays first in line until [`JournalBuffer::take_written`]
+    /// removes it.
     pub fn next(&mut self, now: ClockTime) -> Option<&JournalSegment> {
         if self.due_in(now) == Some(ClockSpan::default()) {
             self.close();
@@ -84,8 +85,8 @@
         self.closed.first()
     }
 
-    /// When [`JournalBuffer::next`] is worth asking again: zero if a segment
-    /// waits, `None` if there is nothing to write.
+    /// Time until [`JournalBuffer::next`] returns a segment: zero if one is
+    /// ready, `None` if there are no records to write.
     #[must_use]
     pub fn due_in(&self, now: ClockTime) -> Option<ClockSpan> {
         if !self.closed.is_empty() {
@@ -97,7 +98,7 @@
         Some((self.open_since + self.policy.max_wait).since(now))
     }
 
-    /// Closes the open segment, full or not; for a shutdown.
+    /// Closes the open segment even if it is not full, for example at shutdown.
     pub fn close(&mut self) {
         if self.open.is_empty() {
             return;
@@ -107,13 +108,13 @@
         self.closed.push(JournalSegment { name, records });
     }
 
-    /// The segment is durable: its records are given back, to be forgotten.
+    /// Removes a segment that is durable now, and returns its records.
     pub fn take_written(&mut self, name: &SegmentName) -> Vec<BillingRecord> {
         let index = self.closed.iter().position(|segment| segment.name == *name);
         index.map_or_else(Vec::new, |index| self.closed.remove(index).records)
     }
 
-    /// Another object lies under the segment's name: it takes a new one.
+    /// Gives a segment a new name, because another object has its name.
     pub fn rename(&mut self, name: &SegmentName) {
         let new_name = self.next_name();
         if let Some(segment) = self.closed.iter_mut().find(|segment| segment.name == *name) {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Records that are not known to be durable.
+    /// The number of records that are not known to be durable.
     #[must_use]
     pub fn backlog(&self) -> usize {
         let closed: usize = self
--- a/crates/guavawell-core/src/request/billing/chain.rs
+++ b/crates/guavawell-core/src/request/billing/chain.rs
@@ -1,9 +1,15 @@
-//! Finds missing and doubled records without the budget's row.
+//! Finds missing and duplicate billing records by their running totals.
 //!
-//! Each record names the sum of its pool's charges in its slot and tenure, its
-//! own included. The records of one pool therefore lie end to end from zero; a
-//! hole is a lost record, an overlap one that was made up or counted twice.
-//! Records that a takeover told again have no place of their own.
+//! Each record contains the running total of the charges to its pool in its
+//! slot and tenure, its own charge included. So the record covers the range of
+//! tokens that ends at this total. The records of one slot, tenure and pool
+//! form a chain: their ranges start at zero and follow each other without gaps.
+//! A gap means that a record was lost. An overlap means that a record was
+//! forged or a charge was counted twice.
+//!
+//! The budget's row is only needed to find records that are missing at the end
+//! of a chain. Records that a new holder wrote again after a takeover have no
+//! range.
 
 use super::record::BillingRecord;
 use crate::budget::BudgetRow;
@@ -13,53 +19,53 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// Whose charges lie end to end.
+/// Identifies a chain of records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainName {
     /// The slot that charged.
     pub slot: SlotId,
-    /// Its holder's tenure.
+    /// The tenure of the slot's holder.
     pub tenure: SlotEpoch,
     /// The pool that paid.
     pub pool: TokenPool,
 }
 
-/// What is wrong with a chain.
+/// An error in a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChainFault {
-    /// Tokens were charged that no record tells of.
+    /// Tokens were charged without a record.
     Missing(TokenCount),
-    /// Tokens are told of by two records.
+    /// Tokens are covered by two records.
     Doubled(TokenCount),
-    /// The row holds tokens after the last record: its segment is not durable
-    /// yet, or is lost.
+    /// The budget's row includes tokens after the last record: the segment with
+    /// their record is not durable yet, or is lost.
     Trailing(TokenCount),
 }
 
-/// One place where records do not lie end to end.
+/// A gap or an overlap in a chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainGap {
     /// The chain.
     pub chain: ChainName,
-    /// Tokens of the chain before the place.
+    /// Tokens of the chain before the gap or the overlap.
     pub after: TokenCount,
-    /// What is wrong there.
+    /// What is wrong.
     pub fault: ChainFault,
 }
 
-/// The chains of one budget.
+/// Result of checking the chains of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainAudit {
-    /// Chains looked at.
+    /// Number of chains.
     pub chains: usize,
-    /// Records with a place in one of them.
+    /// Number of records with a range in one of the chains.
     pub records: usize,
-    /// Every place where records do not lie end to end.
+    /// All gaps and overlaps.
     pub gaps: Vec<ChainGap>,
 }
 
-/// Checks that a budget's records lie end to end, and reach as far as what
-/// the row says was reported.
+/// Checks that the chains of a budget have no gaps or overlaps, and that they
+/// reach the totals that the budget's row reports.
 #[must_use]
 pub fn audit_chains(budget: &BudgetId, row: &BudgetRow, records: &[BillingRecord]) -> ChainAudit {
     let mut sorted: Vec<&BillingRecord> = records
@@ -73,8 +79,8 @@
         let order = order.then(left.identity.cmp(&right.identity));
         order.then(left.attempt.cmp(&right.attempt))
     });
-    // A former holder may have told of an attempt that its successor charged:
-    // each chain keeps its own record of it.
+    // Two holders of a slot may have recorded the same attempt. Each chain
+    // keeps its own record of it.
     sorted
         .dedup_by(|left, right| chain_key(left) == chain_key(right) && left.is_same_charge(right));
     let mut audit = ChainAudit {
@@ -89,9 +95,8 @@
 }
 
 impl BillingRecord {
-    /// Whether both records tell of some of the same tokens: those of one slot,
-    /// tenure and pool lie end to end, so that the budget's row holds such
-    /// tokens once.
+    /// Whether the ranges of both records overlap. The budget's row includes
+    /// the tokens in the overlap only once.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
         let is_same_chain = self.budget == other.budget && chain_key(self) == chain_key(other);
@@ -103,8 +108,8 @@
     }
 }
 
-/// A charge paid from what a takeover froze, or told again by a successor, has
-/// no place.
+/// Whether the record has a range. A charge that was paid from tokens frozen by
+/// a takeover, or recorded again by a successor, has none.
 fn has_range(record: &BillingRecord) -> bool {
     record.counted != TokenCount::ZERO && record.counted != TokenCount::new(u64::MAX)
 }
@@ -153,7 +158,8 @@
     }
 }
 
-/// What the row holds of the chain's tenure, if that is the grant's.
+/// The total that the budget's row reports for the chain; zero if the slot's
+/// grant has another tenure.
 fn reported(record: &BillingRecord, row: &BudgetRow) -> TokenCount {
     let grant = row.grant(&record.slot);
     let grant = grant.filter(|grant| grant.tenure == record.tenure);
--- a/crates/guavawell-core/src/request/billing/doubt.rs
+++ b/crates/guavawell-core/src/request/billing/doubt.rs
@@ -1,5 +1,5 @@
-//! Requests in doubt: reserved, perhaps sent, and not settled by a router
-//! that is gone.
+//! Resolves requests in doubt. Their tokens are reserved and they may have been
+//! sent, but their router is gone and did not settle them.
 
 use crate::budget::InstanceLife;
 use crate::id::AttemptId;
@@ -9,7 +9,7 @@
 use crate::request::frame::StreamUsage;
 use crate::request::identity::RequestIdentity;
 
-/// What is known of a request in doubt.
+/// A request in doubt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubtCase {
     /// The request.
@@ -18,53 +18,54 @@
     pub attempt: AttemptId,
     /// The budget.
     pub budget: BudgetId,
-    /// The reserved worst case.
+    /// The reserved tokens: the largest possible cost.
     pub reserved: TokenCount,
     /// The router that ran the attempt.
     pub router: InstanceLife,
-    /// The backend server, if the router told before it was gone.
+    /// The backend server, if the router reported it before it was gone.
     pub backend: Option<BackendId>,
-    /// Whether nobody asks for the answer any more.
+    /// Whether nobody requests the answer any more.
     pub abandoned: bool,
 }
 
-/// What the backend server's record says (`GET /v1/attempts/{attempt}`).
+/// What the backend server reports about an attempt, as returned by
+/// `GET /v1/attempts/{attempt}`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineReport {
-    /// It ran to its end.
+    /// The attempt is complete.
     Done(StreamUsage),
-    /// It waits or runs.
+    /// The attempt is queued or running.
     Running,
-    /// It was cancelled, and no frame of it follows.
+    /// The attempt was cancelled, and no more frames of it are sent.
     Cancelled(StreamUsage),
-    /// It was never seen; it may still arrive.
+    /// The attempt has not arrived at the backend server, but may still do so.
     NeverSeen,
     /// The backend server does not answer.
     NoResponse,
 }
 
-/// What becomes of a request in doubt.
+/// What to do with a request in doubt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoubtResolution {
-    /// Charge this much and give the rest back.
+    /// Charge these tokens and release the rest of the reservation.
     Charge(TokenCount),
-    /// Give the whole reservation back: it did not run, or not to its end.
-    /// The second count is work that nobody pays for.
+    /// Release the whole reservation, because the attempt did not complete.
     Release {
-        /// Tokens that the engine spent in vain.
+        /// Tokens that the engine used and that nobody pays for.
         unbilled: TokenCount,
     },
-    /// Cancel it at the engine, then ask again. The engine refuses a late
-    /// send of a cancelled attempt, so that its record is final.
+    /// Cancel the attempt at the engine, then query it again. The engine
+    /// rejects a cancelled attempt that arrives later, so that its report is
+    /// final.
     Cancel,
-    /// Ask again later; the caller may still resume the answer.
+    /// Query the engine again later. The caller may still resume the answer.
     Wait,
-    /// Keep the reservation at its worst case.
+    /// Keep the whole reservation, because the result is unknown.
     Hold,
 }
 
-/// Decides a request in doubt by the engine's word; `None` where the backend
-/// server is not known.
+/// Resolves a request in doubt by the report of its engine. The report is
+/// `None` if the backend server is not known.
 #[must_use]
 pub fn resolve_doubt(case: &DoubtCase, report: Option<EngineReport>) -> DoubtResolution {
     match report {
--- a/crates/guavawell-core/src/request/billing/fold.rs
+++ b/crates/guavawell-core/src/request/billing/fold.rs
@@ -1,4 +1,4 @@
-//! Folds billing records by identity.
+//! Reduces billing records to one charge for each request.
 
 use super::record::BillingRecord;
 use crate::budget::SlotId;
@@ -8,40 +8,42 @@
 use crate::id::TokenCount;
 use crate::request::identity::RequestIdentity;
 
-/// A charge to be given back: its identity was charged already.
+/// A charge to refund, because its request was charged before.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RefundIntent {
     /// The request.
     pub identity: RequestIdentity,
-    /// The budget that is owed.
+    /// The budget to refund.
     pub budget: BudgetId,
-    /// The attempt whose charge is given back.
+    /// The attempt whose charge is refunded.
     pub attempt: AttemptId,
     /// The slot that charged it.
     pub slot: SlotId,
     /// The tenure that charged it.
     pub tenure: SlotEpoch,
-    /// The tokens to give back.
+    /// The tokens to refund.
     pub tokens: TokenCount,
-    /// The attempt whose charge stands.
+    /// The attempt whose charge is kept.
     pub kept: AttemptId,
 }
 
-/// Charges folded by identity.
+/// The charges that are kept, and those to refund.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BillingFold {
-    /// The one charge that stands for each identity, sorted by identity.
+    /// The one charge that is kept for each identity, sorted by identity.
     pub charges: Vec<BillingRecord>,
-    /// Second charges, sorted by identity.
+    /// Further charges of an identity, sorted by identity.
     pub refunds: Vec<RefundIntent>,
-    /// Records that told of a charge once more.
+    /// Number of records that repeat a charge.
     pub repeated: usize,
 }
 
-/// Folds records, in whatever order they were read.
+/// Finds the charge to keep and the charges to refund for each identity. The
+/// order of the records does not matter.
 ///
-/// The earliest charge of an identity stands; among equals the lowest
-/// attempt. A record that tells of the same charge again counts for nothing.
+/// The earliest charge of an identity is kept. Of charges made at the same
+/// time, the one with the lowest attempt id is kept. Further records of the
+/// same charge are only counted.
 #[must_use]
 pub fn fold_records(mut records: Vec<BillingRecord>) -> BillingFold {
     records.sort_by(|left, right| {
@@ -86,7 +88,7 @@
 }
 
 impl BillingFold {
-    /// The charge that stands for an identity.
+    /// The charge that is kept for an identity.
     #[must_use]
     pub fn charge(&self, identity: &RequestIdentity) -> Option<&BillingRecord> {
         let found = self
@@ -95,7 +97,7 @@
         found.ok().map(|index| &self.charges[index])
     }
 
-    /// The tokens that stand as charged to a budget.
+    /// The tokens of all charges to a budget that are kept.
     #[must_use]
     pub fn charged(&self, budget: &BudgetId) -> TokenCount {
         let of_budget = self
@@ -105,7 +107,7 @@
         of_budget.map(|charge| charge.charged).sum()
     }
 
-    /// The tokens that a budget is owed.
+    /// The tokens to refund to a budget.
     #[must_use]
     pub fn owed(&self, budget: &BudgetId) -> TokenCount {
         let of_budget = self
--- a/crates/guavawell-core/src/request/billing/mod.rs
+++ b/crates/guavawell-core/src/request/billing/mod.rs
@@ -1,8 +1,8 @@
-//! Billing records: folded by identity, kept until durable, audited.
+//! Billing records: their journal, refunds of repeated charges, and audits.
 //!
-//! A charge is decided by the budget's slot; this folder keeps the proof of
-//! it. A second record of one identity charges nothing: the fold finds it and
-//! asks for its refund.
+//! The holder of a budget's slot decides on a charge, and this module records
+//! it. If a request is charged more than once, one charge is kept and the
+//! others are refunded.
 
 mod audit;
 mod buffer;
--- a/crates/guavawell-core/src/request/billing/record.rs
+++ b/crates/guavawell-core/src/request/billing/record.rs
@@ -1,4 +1,4 @@
-//! One charge, as it is kept.
+//! The record of one charge.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,7 +15,7 @@
 use crate::id::TokenCount;
 use crate::request::identity::RequestIdentity;
 
-/// One charge of one attempt by one holder.
+/// A charge for one attempt, made by the holder of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillingRecord {
     /// The request.
@@ -26,15 +26,19 @@
     pub budget: BudgetId,
     /// The slot whose holder charged.
     pub slot: SlotId,
-    /// That holder's tenure.
+    /// The tenure of that holder.
     pub tenure: SlotEpoch,
-    /// The charge.
+    /// The tokens charged.
     pub charged: TokenCount,
-    /// The backend server that ran the attempt, where it is known.
+    /// The backend server that ran the attempt, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backend: Option<BackendId>,
-    /// All charges of the tenure's pool up to this one; once the budget's row
-    /// holds as many of that tenure, it holds this one.
+    /// Running total of the charges to this pool in this tenure, this charge
+    /// included. The budget's row includes the charge once it reports at least
+    /// this total for the tenure.
+    ///
+    /// The total is 0 if a successor of the holder recorded the charge again,
+    /// and `u64::MAX` if the charge was paid from frozen tokens.
     #[serde(default)]
     pub counted: TokenCount,
     /// The pool that paid.
@@ -49,7 +53,7 @@
 }
 
 impl BillingRecord {
-    /// The record of a charge that a slot's holder made now.
+    /// The record of a charge that the holder of a slot has just made.
     #[must_use]
     pub fn of_notice(slot: &SlotId, notice: ChargeNotice, at: ClockTime) -> Self {
         Self {
@@ -66,11 +70,12 @@
         }
     }
 
-    /// The records of all charges in the ledger of a former holder, as its
-    /// successor tells them again at the begin of its tenure.
+    /// The records of all charges in the ledger of a previous holder. Its
+    /// successor records them again when its own tenure starts.
     ///
-    /// The row holds them once it holds anything of the new tenure: opening
-    /// the new grant closes the former one.
+    /// These records have no running total. The budget's row includes them as
+    /// soon as it has a grant of the new tenure, because opening that grant
+    /// closes the previous one.
     pub fn of_ledger<'a>(
         slot: &'a SlotId,
         ledger: &'a SlotLedger,
@@ -87,10 +92,11 @@
         })
     }
 
-    /// Whether both records tell of one and the same charge.
+    /// Whether both records describe the same charge.
     ///
-    /// A slot charges an attempt at most once, whichever tenure tells of it: a
-    /// takeover's holder tells its predecessor's charges again as its own.
+    /// The tenure is not compared. A slot charges an attempt at most once, but
+    /// after a takeover the new holder records the charges of its predecessor
+    /// again.
     #[must_use]
     pub fn is_same_charge(&self, other: &Self) -> bool {
         self.identity == other.identity && self.attempt == other.attempt && self.slot == other.slot
--- a/crates/guavawell-core/src/request/billing/refund.rs
+++ b/crates/guavawell-core/src/request/billing/refund.rs
@@ -1,10 +1,12 @@
-//! Which of several charges of one request stands, decided once.
+//! Refunds for requests that were charged more than once.
 //!
-//! One row for each request that was charged twice, under
-//! `refund/{organisation}/{request}`. It names the charge that stands and those
-//! given back, and is written in one transaction with the budget's row. Weighed
-//! against a list in the budget's row: that would grow with every refund or
-//! forget some, and one request's charges may lie in two budgets.
+//! Each such request has a row, `refund/{organisation}/{request}`. The row
+//! names the charge that is kept, which is decided once, and the charges that
+//! were refunded. It is written in one transaction with the budget's row.
+//!
+//! Refunds are not listed in the budget's row, because such a list would grow
+//! with every refund or have to drop some, and because the charges of one
+//! request may belong to two budgets.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,16 +20,16 @@
 use crate::id::TokenCount;
 use crate::request::identity::RequestIdentity;
 
-/// The table's row of a request that was charged twice.
+/// The table row of a request that was charged more than once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefundRow {
-    /// The attempt whose charge stands, for good.
+    /// The attempt whose charge is kept. This never changes.
     pub kept: AttemptId,
-    /// Charges given back.
+    /// The refunded charges.
     pub refunds: Vec<RefundEntry>,
 }
 
-/// One charge that was given back.
+/// A refunded charge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefundEntry {
     /// The attempt.
@@ -38,18 +40,19 @@
     pub budget: BudgetId,
     /// The tokens.
     pub tokens: TokenCount,
-    /// When it was given back.
+    /// Time of the refund.
     pub at: ClockTime,
 }
 
-/// The table's key of a request's refund row.
+/// The table key of a request's refund row.
 #[must_use]
 pub fn refund_key(identity: &RequestIdentity) -> String {
     format!("refund/{}/{}", identity.organisation, identity.request)
 }
 
 impl RefundRow {
-    /// A row that lets the earliest of `charges` stand and gives none back yet.
+    /// A row that keeps the earliest of `charges`, without refunds. `None` if
+    /// there are no charges.
     #[must_use]
     pub fn first(charges: &[BillingRecord]) -> Option<Self> {
         let earliest = charges
@@ -61,7 +64,7 @@
         })
     }
 
-    /// The charges among `charges` that are neither kept nor given back.
+    /// The charges among `charges` that are neither kept nor refunded.
     pub fn open<'a>(
         &'a self,
         charges: &'a [BillingRecord],
@@ -75,7 +78,7 @@
         })
     }
 
-    /// The row once `record` is given back too.
+    /// The row with a refund of `record` added.
     #[must_use]
     pub fn with(&self, record: &BillingRecord, at: ClockTime) -> Self {
         let mut row = self.clone();
@@ -91,7 +94,7 @@
 }
 
 impl BillingRecord {
-    /// The charge as a refund of it needs it.
+    /// The charge as [`crate::budget::BudgetRow::refund`] takes it.
     #[must_use]
     pub fn refund_charge(&self) -> RefundCharge {
         RefundCharge {
--- a/crates/guavawell-core/src/request/billing/segment.rs
+++ b/crates/guavawell-core/src/request/billing/segment.rs
@@ -15,27 +15,27 @@
 
 /// The object key of a segment: `journal/{shard}/{zone}/{instance}-{incarnation}-{sequence}`.
 ///
-/// The number has ten digits, so that a writer's segments are listed in order.
-/// An incarnation numbers its segments of a slot itself, so nobody else
-/// writes under its names.
+/// The sequence number has ten digits, so that the segments of a writer are
+/// listed in order. Each incarnation of a router numbers its own segments of a
+/// slot, so that no other writer uses its names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentName {
     /// The slot whose charges it holds.
     pub slot: SlotId,
     /// The router that wrote it.
     pub router: InstanceLife,
-    /// Its number, from 0.
+    /// The sequence number, from 0.
     pub sequence: u64,
 }
 
-/// What is wrong with a segment.
+/// Why a segment cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SegmentError {
-    /// The key is no segment's.
+    /// The key is not the name of a segment.
     #[error("`{0}` is not `journal/SHARD/ZONE/INSTANCE-INCARNATION-SEQUENCE`")]
     BadName(Box<str>),
-    /// A line is no record.
-    #[error("line {line} is no billing record: {detail}")]
+    /// A line is not a billing record.
+    #[error("line {line} is not a billing record: {detail}")]
     BadRecord {
         /// The line, from 1.
         line: usize,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Instances may hold `-` in their names, so the last part is read from its end.
+/// Parses the key of a segment. Instance names may contain `-`, so the last
+/// part is split from its end.
 fn parse_name(text: &str) -> Option<SegmentName> {
     let mut parts = text.strip_prefix(PREFIX)?.strip_prefix('/')?.splitn(3, '/');
     let shard = parts.next()?.parse().ok()?;
@@ -96,27 +97,27 @@
 }
 
 impl JournalSegment {
-    /// The object's body: one JSON record a line.
+    /// The object's body: one JSON record per line.
     ///
     /// # Panics
     ///
-    /// Never: records hold text and numbers only.
+    /// Never: records contain only strings and numbers.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         let mut body = Vec::new();
         for record in &self.records {
-            serde_json::to_writer(&mut body, record).expect("a record serialises");
+            serde_json::to_writer(&mut body, record).expect("a record can be serialised");
             body.push(b'\n');
         }
         body
     }
 }
 
-/// The records of a segment's body.
+/// Parses the body of a segment.
 ///
 /// # Errors
 ///
-/// The first line that is no record.
+/// Fails at the first line that is not a billing record.
 pub fn read_segment(body: &[u8]) -> Result<Vec<BillingRecord>, SegmentError> {
     let lines = body.split(|byte| *byte == b'\n').enumerate();
     let records = lines.filter(|(_, line)| !line.is_empty());
--- a/crates/guavawell-core/src/request/billing/tests.rs
+++ b/crates/guavawell-core/src/request/billing/tests.rs
@@ -1,4 +1,4 @@
-//! Folding, auditing, buffering and resolving, table by table.
+//! Tests of refunds, audits, the journal and requests in doubt.
 
 use super::*;
 use crate::budget::BudgetRow;
@@ -163,8 +163,9 @@
         counted: TokenCount::new(counted),
         ..record(request, counted.into(), "tln-a", 10, counted)
     };
-    // The holder of tenure 1 lost the slot before its charge of `b` was
-    // acknowledged, and told it; the holder of tenure 7 charged the attempt.
+    // The holder of tenure 1 recorded its charge of `b`, but lost the slot
+    // before the charge was acknowledged. The holder of tenure 7 charged the
+    // attempt.
     let former = with_counted("b", 1, 20);
     let present = BillingRecord {
         tenure: SlotEpoch::new(7),
@@ -181,7 +182,7 @@
     assert_eq!(audit.gaps, []);
     assert_eq!((audit.chains, audit.records), (2, 4));
     let lost = audit_chains(&budget(), &row, &records[..3]);
-    assert_eq!(lost.gaps, [], "the row tells of nothing after it");
+    assert_eq!(lost.gaps, [], "the row reports nothing after it");
     let lost = [records[0].clone(), records[1].clone(), records[3].clone()];
     let gaps = audit_chains(&budget(), &row, &lost).gaps;
     assert_eq!(gaps[0].fault, ChainFault::Missing(TokenCount::new(10)));
@@ -241,7 +242,7 @@
     assert_eq!(
         open,
         [&earlier],
-        "an earlier charge that is read later goes"
+        "an earlier charge that is read later is refunded"
     );
     let row = first.with(&earlier, ClockTime::from_millis(5));
     assert_eq!(row.open(&both).count(), 0);
@@ -265,13 +266,18 @@
     assert_eq!(window.conflicts(at(49)).count(), 0);
     assert_eq!(window.conflicts(at(50)).count(), 1);
     window.add(vec![record("y", 4, "tln-a", 1, 1)], at(3));
-    assert_eq!(window.len(), 2, "the two read first went");
+    assert_eq!(
+        window.len(),
+        2,
+        "the two charges that were read first are evicted"
+    );
     window.add(Vec::new(), at(200));
     assert!(window.is_empty());
 }
 
-/// Guards against tokens that nobody paid: a record that repeats the place of
-/// another one would be given back, though the budget's row was charged once.
+/// Guards against refunds of tokens that were never charged. If two records
+/// cover the same range, the budget's row includes the range only once. A
+/// refund of one of the records would then give back too much.
 #[test]
 fn overlapping_charges_are_detected() {
     let with_counted = |attempt, tenure, charged, counted| BillingRecord {
@@ -284,17 +290,20 @@
     window.add(vec![first.clone()], ClockTime::from_millis(0));
     let is_overlapped = |record: &BillingRecord| window.is_overlapped(record);
     assert!(!is_overlapped(&first), "the same charge");
-    assert!(is_overlapped(&with_counted(2, 1, 30, 30)), "the same place");
-    assert!(is_overlapped(&with_counted(2, 1, 10, 35)), "a part of it");
+    assert!(is_overlapped(&with_counted(2, 1, 30, 30)), "the same range");
+    assert!(
+        is_overlapped(&with_counted(2, 1, 10, 35)),
+        "a part of the range"
+    );
     assert!(
         !is_overlapped(&with_counted(2, 1, 30, 60)),
-        "the next place"
+        "the next range"
     );
     assert!(
         !is_overlapped(&with_counted(2, 2, 30, 30)),
         "another tenure"
     );
-    assert!(!is_overlapped(&with_counted(2, 1, 30, 0)), "no place");
+    assert!(!is_overlapped(&with_counted(2, 1, 30, 0)), "no range");
     let float = BillingRecord {
         pool: TokenPool::Float,
         ..with_counted(2, 1, 30, 30)
@@ -352,7 +361,9 @@
     assert_eq!(read_segment(&segment.body()), Ok(segment.records));
     let error = read_segment(b"\n{}\n").unwrap_err();
     assert!(
-        error.to_string().starts_with("line 2 is no billing record"),
+        error
+            .to_string()
+            .starts_with("line 2 is not a billing record"),
         "{error}"
     );
 }
--- a/crates/guavawell-core/src/request/billing/window.rs
+++ b/crates/guavawell-core/src/request/billing/window.rs
@@ -1,17 +1,19 @@
-//! The charges of the last while, for finding second charges as segments come.
+//! A window of recent charges, which finds repeated charges as segments are
+//! read.
 
 use super::record::BillingRecord;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::request::identity::RequestIdentity;
 
-/// How much a window remembers.
+/// Limits of a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowPolicy {
-    /// How long a charge is remembered after it was read; a second charge that
-    /// comes later is found by an audit only.
+    /// How long a charge is kept after it was read. A repeated charge that is
+    /// read later is only found by an audit.
     pub retention: ClockSpan,
-    /// Most charges remembered; those read first go first, a segment at once.
+    /// Largest number of charges. Charges that were read first are evicted
+    /// first, and charges of one segment together.
     pub max_charges: usize,
 }
 
@@ -27,12 +29,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct WindowCharge {
     read_at: ClockTime,
-    /// When a conflict that it is part of is looked at next.
+    /// When a conflict with this charge is returned next.
     due_at: ClockTime,
     record: BillingRecord,
 }
 
-/// Charges read so far, sorted by identity.
+/// Recently read charges, sorted by identity.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChargeWindow {
     policy: WindowPolicy,
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Takes the records of a segment; a charge told twice is kept once.
+    /// Adds the records of a segment. A charge with several records is kept
+    /// once.
     pub fn add(&mut self, records: Vec<BillingRecord>, now: ClockTime) {
         let added = records.into_iter().map(|record| WindowCharge {
             read_at: now,
@@ -57,7 +60,7 @@
             record,
         });
         self.seen.extend(added);
-        // Stable, so that the charge that was read first stays.
+        // The sort is stable, so that the record that was read first is kept.
         self.seen
             .sort_by(|left, right| charge_key(&left.record).cmp(&charge_key(&right.record)));
         self.seen
@@ -65,7 +68,8 @@
         self.evict(now);
     }
 
-    /// Requests with several charges that are due, each with all of them.
+    /// Requests with several charges of which at least one is due. Returns all
+    /// charges of each.
     pub fn conflicts(&self, now: ClockTime) -> impl Iterator<Item = Vec<BillingRecord>> {
         let same = |left: &WindowCharge, right: &WindowCharge| {
             left.record.identity == right.record.identity
@@ -77,8 +81,8 @@
         groups.map(|group| group.iter().map(|seen| seen.record.clone()).collect())
     }
 
-    /// Whether another charge tells of some of the same tokens: one of the two
-    /// was made up, and the budget's row does not say which.
+    /// Whether the range of another charge overlaps that of `record`. One of
+    /// the two charges is then forged, and the budget's row does not show which.
     #[must_use]
     pub fn is_overlapped(&self, record: &BillingRecord) -> bool {
         let others = self.seen.iter().map(|seen| &seen.record);
@@ -86,7 +90,8 @@
         others.any(|other| other.overlaps(record))
     }
 
-    /// Looks at a request's charges again at `due_at`, or once one more comes.
+    /// Hides the conflict of a request until `due_at`, or until another of its
+    /// charges is added.
     pub fn postpone(&mut self, identity: &RequestIdentity, due_at: ClockTime) {
         let start = self
             .seen
@@ -97,13 +102,13 @@
         }
     }
 
-    /// Charges remembered.
+    /// Number of charges in the window.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.seen.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether the window is empty.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.seen.is_empty()
--- a/crates/guavawell-core/src/request/chat/error.rs
+++ b/crates/guavawell-core/src/request/chat/error.rs
@@ -1,22 +1,23 @@
-//! What can be wrong with a chat request's body.
+//! Errors in the body of a chat request.
 
 use thiserror::Error;
 
-/// One thing wrong with a chat request's body.
+/// An error in the body of a chat request.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChatError {
     /// The body is larger than the limit.
     #[error("the body has {bytes} bytes, more than {limit}")]
     TooLarge {
-        /// Its size.
+        /// The size of the body.
         bytes: usize,
         /// The limit.
         limit: usize,
     },
-    /// The body is not a JSON object, or is cut off.
+    /// The body is not a JSON object, or is truncated.
     #[error("the body is not a JSON object: {0}")]
     NotJson(Box<str>),
-    /// A field stands twice, so that two readers may read two requests.
+    /// A field appears more than once. The router and the engine could use
+    /// different values.
     #[error("`{0}` stands twice")]
     Duplicate(Box<str>),
     /// A field is missing.
@@ -27,10 +28,10 @@
     WrongType {
         /// The field.
         field: &'static str,
-        /// What it should be.
+        /// The expected type.
         wanted: &'static str,
     },
-    /// The model's name is not an id.
+    /// The model's name is not a valid id.
     #[error("`model`: {0}")]
     BadModel(Box<str>),
     /// There are no messages.
@@ -39,15 +40,15 @@
     /// There are more messages than the limit.
     #[error("`messages` has {count} entries, more than {limit}")]
     TooManyMessages {
-        /// How many there are.
+        /// The number of messages.
         count: usize,
         /// The limit.
         limit: usize,
     },
-    /// A message is not as the interface asks.
+    /// A message is invalid.
     #[error("`messages[{place}]`: {detail}")]
     BadMessage {
-        /// Its place, from 0.
+        /// The index of the message, from 0.
         place: usize,
         /// What is wrong.
         detail: Box<str>,
@@ -60,7 +61,7 @@
     OutputTooLarge {
         /// The field.
         field: &'static str,
-        /// The output limit asked for.
+        /// The requested output limit.
         asked: u64,
         /// The router's limit.
         limit: u64,
@@ -68,21 +69,22 @@
     /// Both names of the output limit are given and differ.
     #[error("`max_tokens` and `max_completion_tokens` differ; send one of them")]
     ConflictingOutputLimits,
-    /// More than one answer is asked for; each would have to be paid for.
+    /// More than one answer is requested. Each would cost up to the output
+    /// limit.
     #[error("`n` must be 1")]
     MultipleAnswers,
 }
 
-/// Everything wrong with a chat request's body.
+/// All errors in the body of a chat request.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.text())]
 pub struct ChatErrors {
-    /// The faults, in the order in which they were found; not empty.
+    /// The errors, in the order in which they were found; not empty.
     pub errors: Vec<ChatError>,
 }
 
 impl ChatErrors {
-    /// Whether the body's size is what is wrong.
+    /// Whether the body is too large.
     #[must_use]
     pub fn is_too_large(&self) -> bool {
         let is_too_large = |error: &ChatError| matches!(error, ChatError::TooLarge { .. });
--- a/crates/guavawell-core/src/request/chat/field.rs
+++ b/crates/guavawell-core/src/request/chat/field.rs
@@ -1,4 +1,4 @@
-//! A JSON object as its fields in order, each value as its own bytes.
+//! A JSON object as a list of fields with unparsed values.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -13,21 +13,21 @@
 pub(super) struct BodyField<'a> {
     /// The field's name.
     pub name: Cow<'a, str>,
-    /// The field's value, unread.
+    /// The field's unparsed value.
     pub value: &'a RawValue,
 }
 
-/// The fields of an object, in order; a name may stand twice.
+/// The fields of an object, in order. A name may appear more than once.
 pub(super) struct BodyFields<'a>(pub Vec<BodyField<'a>>);
 
 impl<'a> BodyFields<'a> {
-    /// The first value of `name`; a plain `null` counts as absent.
+    /// The first value of `name`; `null` counts as absent.
     pub fn value(&self, name: &str) -> Option<&'a RawValue> {
         let field = self.0.iter().find(|field| field.name == name)?;
         (field.value.get() != "null").then_some(field.value)
     }
 
-    /// The names that stand more than once.
+    /// The names that appear more than once.
     pub fn duplicates(&self) -> impl Iterator<Item = &str> {
         let fields = self.0.iter().enumerate();
         fields.filter_map(|(place, field)| {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A field's name, borrowed where it holds no escape.
+/// A field's name, borrowed if it contains no escape sequence.
 #[derive(Deserialize)]
 struct FieldName<'a>(#[serde(borrow)] Cow<'a, str>);
 
--- a/crates/guavawell-core/src/request/chat/mod.rs
+++ b/crates/guavawell-core/src/request/chat/mod.rs
@@ -1,8 +1,8 @@
-//! The body of a chat request: what the router checks, and what it sends on.
+//! Parses the body of a chat request and builds the body for the engine.
 //!
-//! Owns the reading of the fields that decide about money (model, messages,
-//! output limit). Other fields are kept as their own bytes and sent on; they
-//! are never interpreted.
+//! Interprets only the fields that determine the cost (model, messages, output
+//! limit, number of answers) and the stream flag. The values of all other
+//! fields are forwarded unparsed.
 
 mod error;
 mod field;
--- a/crates/guavawell-core/src/request/chat/prompt.rs
+++ b/crates/guavawell-core/src/request/chat/prompt.rs
@@ -1,4 +1,4 @@
-//! Counts a prompt's bytes, which bound its tokens, and keeps its head.
+//! Counts the tokens of a prompt by its size, and keeps its first bytes.
 
 use std::borrow::Cow;
 
@@ -8,18 +8,18 @@
 use super::error::ChatError;
 use crate::id::TokenCount;
 
-/// Bytes of message contents that make one token.
+/// Bytes of message contents that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Bytes kept of a prompt's head.
+/// Bytes of a prompt that are kept in [`PromptText::head`].
 const MAX_HEAD_BYTES: usize = 64;
 
-/// What the router needs of a prompt.
+/// The properties of a prompt that the router needs.
 #[derive(Debug, Default)]
 pub(super) struct PromptText {
-    /// Bytes of all contents.
+    /// Size of all contents, in bytes.
     bytes: u64,
-    /// The first bytes of the contents, put together.
+    /// The first bytes of the concatenated contents.
     pub head: Vec<u8>,
 }
 
@@ -60,7 +60,7 @@
     text: Option<Cow<'a, str>>,
 }
 
-/// The prompt of a list of messages, or what is wrong with them.
+/// Parses a list of messages. Adds all errors that it finds to `errors`.
 pub(super) fn parse_messages(
     messages: &RawValue,
     limit: usize,
@@ -109,8 +109,8 @@
     }
 }
 
-/// Only text is counted in tokens; the cost of any other part is not known
-/// before it runs, so it cannot be reserved.
+/// Adds a text part. Rejects all other kinds, because the cost of such a part
+/// is not known before the request runs and can therefore not be reserved.
 fn add_part(part: &ContentPart<'_>, prompt: &mut PromptText) -> Result<(), Box<str>> {
     match &part.text {
         Some(text) if part.kind == "text" => {
--- a/crates/guavawell-core/src/request/chat/request.rs
+++ b/crates/guavawell-core/src/request/chat/request.rs
@@ -1,4 +1,4 @@
-//! A checked chat request.
+//! A validated chat request.
 
 use serde::Deserialize;
 use serde::ser::SerializeMap;
@@ -13,7 +13,7 @@
 use crate::id::ModelId;
 use crate::id::TokenCount;
 
-/// Fields that the router writes anew in the body that it sends on.
+/// Fields that the router replaces in the body that it forwards.
 const OVERRIDDEN_FIELDS: [&str; 4] = [
     "max_tokens",
     "max_completion_tokens",
@@ -26,9 +26,9 @@
 pub struct ChatLimits {
     /// Largest body, in bytes.
     pub max_body_bytes: usize,
-    /// Most messages.
+    /// Largest number of messages.
     pub max_messages: usize,
-    /// Output limit of a request that names none, in tokens.
+    /// Output limit of a request without one, in tokens.
     pub default_output: TokenCount,
     /// Largest output limit, in tokens.
     pub max_output: TokenCount,
@@ -45,30 +45,31 @@
     }
 }
 
-/// A checked chat request.
+/// A validated chat request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChatRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelId,
     /// Whether the caller wants the answer as a stream.
     pub stream: bool,
-    /// Tokens of the prompt, as the engine counts them.
+    /// Number of prompt tokens, as the engine counts them.
     pub prompt: TokenCount,
-    /// The first bytes of the message contents put together, by which engines
-    /// name cached prefixes.
+    /// The first bytes of the concatenated message contents, by which engines
+    /// identify cached prefixes.
     pub prompt_head: Vec<u8>,
     /// The most tokens that the engine may generate.
     pub output: TokenCount,
-    /// The body for the engine: streamed, with usage, with the output limit.
+    /// The body for the engine. It asks for a stream with usage and contains
+    /// the output limit.
     pub engine_body: Vec<u8>,
 }
 
 impl ChatRequest {
-    /// Reads a whole body and checks it against `limits`.
+    /// Parses a complete body and checks it against `limits`.
     ///
     /// # Errors
     ///
-    /// Every fault that was found.
+    /// Returns all errors that were found.
     pub fn parse(body: &[u8], limits: &ChatLimits) -> Result<Self, ChatErrors> {
         if body.len() > limits.max_body_bytes {
             return Err(ChatErrors::from(ChatError::TooLarge {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The most that the request can cost: prompt and output limit.
+    /// The largest possible cost of the request: prompt plus output limit.
     #[must_use]
     pub const fn worst_case(&self) -> TokenCount {
         self.prompt.saturating_add(self.output)
@@ -195,8 +196,8 @@
         .unwrap_or(false)
 }
 
-/// Each further answer (`n`, or `best_of` of older interfaces) would cost its
-/// own output limit.
+/// Rejects requests for several answers (`n`, or `best_of` in older
+/// interfaces), because each answer would cost up to the output limit.
 fn check_answer_count(fields: &BodyFields<'_>, errors: &mut Vec<ChatError>) {
     let is_multiple = |name| {
         let value = fields.value(name);
@@ -207,13 +208,11 @@
     }
 }
 
-/// The caller's fields, with those that decide about the stream and its
-/// cost written anew.
+/// The caller's fields, with the [`OVERRIDDEN_FIELDS`] replaced.
 fn engine_body(fields: &BodyFields<'_>, output: TokenCount) -> Vec<u8> {
     let mut body = Vec::new();
     let mut serializer = serde_json::Serializer::new(&mut body);
-    write_engine_body(&mut serializer, fields, output)
-        .expect("fields that were parsed serialise again");
+    write_engine_body(&mut serializer, fields, output).expect("parsed fields can be serialised");
     body
 }
 
--- a/crates/guavawell-core/src/request/claim/mod.rs
+++ b/crates/guavawell-core/src/request/claim/mod.rs
@@ -1,12 +1,14 @@
-//! Claims and seals: what makes a non-idempotent request run at most once.
+//! Claims and seals, which make a non-idempotent request run at most once.
 //!
-//! Both lie at one place in the table, `claim/{organisation}/{request}`, so
-//! that the table's conditional writes decide between them. A claim names the
-//! one attempt that may run; a seal says that none ever will. A released row
-//! frees the id again and, because it is a write, keeps any late claim of the
-//! released attempt out. Rows are replaced, never deleted, while the id lives;
-//! `crate::retention` sweeps those of old generations, and every write names
-//! the generation that has to be in force.
+//! Both are stored in one table row, `claim/{organisation}/{request}`, so that
+//! the table's conditional writes decide which one wins. A claim names the only
+//! attempt that may run. A seal means that no attempt will ever run. A release
+//! frees the id again. Because a release is a write too, a delayed claim of the
+//! released attempt no longer finds the revision that it expects.
+//!
+//! Rows are overwritten, not deleted, until `crate::retention` sweeps the rows
+//! of old generations. Each write is conditional on the generation in force, so
+//! that no try can write after a claim that it should have found was swept.
 
 mod refusal;
 mod row;
@@ -27,7 +29,8 @@
 
 /// Whether an attempt has to be claimed before its first byte is sent.
 ///
-/// An idempotent request may run twice, and a minted id has one attempt only.
+/// An idempotent request needs no claim, because it may run twice. A minted id
+/// needs none, because it has only one attempt.
 #[must_use]
 pub const fn needs_claim(identity: &RequestIdentity, idempotent: bool) -> bool {
     !identity.minted && !idempotent
--- a/crates/guavawell-core/src/request/claim/refusal.rs
+++ b/crates/guavawell-core/src/request/claim/refusal.rs
@@ -1,4 +1,4 @@
-//! What a step's end lets a router do, or say.
+//! Turns the outcome of a claim step into an attempt to send or a refusal.
 
 use crate::clock::ClockSpan;
 use crate::request::attempt::UnsentAttempt;
@@ -8,12 +8,12 @@
 use crate::request::reason::RefusalReason;
 use crate::request::refusal::Refusal;
 
-/// The attempt, free to be sent, if the step holds its claim.
+/// Returns the attempt for sending if the step holds its claim.
 ///
 /// # Errors
 ///
-/// The refusal for the caller otherwise. `retry_after` is the hint for a
-/// platform that cannot be reached.
+/// Returns the refusal for the caller otherwise. `retry_after` is added if the
+/// platform could not be reached.
 pub fn run_or_refuse(
     step: &ClaimStep,
     unsent: UnsentAttempt,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The refusal for `reason` behind a step that was to seal the id.
+/// The refusal for `reason` after a step that should have sealed the id.
 #[must_use]
 pub fn seal_refusal(
     step: &ClaimStep,
--- a/crates/guavawell-core/src/request/claim/row.rs
+++ b/crates/guavawell-core/src/request/claim/row.rs
@@ -1,4 +1,4 @@
-//! The table's row of a claim.
+//! The table row of a claim.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,32 +8,33 @@
 use crate::id::AttemptId;
 use crate::request::identity::RequestIdentity;
 
-/// What a claim's row says about its id.
+/// State of a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The row's attempt, and no other, may run.
+    /// Only the attempt of the row may run.
     Claimed,
-    /// No attempt runs, now or later.
+    /// No attempt will ever run.
     Sealed,
-    /// The row's attempt never runs; another may claim the id.
+    /// The attempt of the row will never run. Another attempt may claim the id.
     Released,
 }
 
-/// The table's row of a claim.
+/// The table row of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// What the row says.
+    /// The state of the request id.
     pub state: ClaimState,
-    /// The attempt that wrote the row; tells a lost write's read-back whose it is.
+    /// The attempt that wrote the row. After an unanswered write, the read-back
+    /// compares it to find out whether that write was applied.
     pub attempt: AttemptId,
     /// The router that wrote the row.
     pub router: InstanceLife,
-    /// When, by that router's clock; for people only.
+    /// Time of the write by the clock of that router, for operators only.
     pub at: ClockTime,
 }
 
-/// The key of a request's claim.
+/// The table key of a request's claim.
 #[must_use]
 pub fn claim_key(identity: &RequestIdentity) -> Box<str> {
     format!("claim/{}/{}", identity.organisation, identity.request).into()
--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -11,21 +11,22 @@
 use crate::request::proof::SealProof;
 use crate::retention::TryStart;
 
-/// Most writes of one step; each one but the first follows a read-back.
+/// Maximum number of writes in one step. Each further write follows a failed
+/// condition, a read-back or a change of the generation.
 const MAX_WRITE_ATTEMPTS: u8 = 3;
 
-/// What a step wants of the id.
+/// What a step should do with the request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimGoal {
-    /// The attempt wants to run.
+    /// Claim the id, so that the attempt may run.
     Run,
-    /// The attempt, unsent, is refused for good.
+    /// Seal the id, because the unsent attempt is refused permanently.
     Seal,
-    /// The attempt, unsent, is given up and the id freed.
+    /// Release the id, because the unsent attempt is given up.
     Release,
 }
 
-/// What the table's driver reports.
+/// Result of a table operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimEvent {
     /// The write was applied at this revision.
@@ -33,18 +34,20 @@
         /// The row's revision.
         revision: u64,
     },
-    /// The write's condition did not hold, or a read back found this row.
+    /// The revision differed from the expected one, or this is the result of a
+    /// read-back. The row exists.
     Found {
         /// The row.
         row: ClaimRow,
         /// Its revision.
         revision: u64,
     },
-    /// A read back found no row, or a condition failed without one.
+    /// The revision differed from the expected one, or this is the result of a
+    /// read-back. There is no row.
     Absent,
-    /// The write may have been applied.
+    /// The write was not answered and may have been applied.
     Unanswered,
-    /// The write was certainly not applied, or the read back gave no answer.
+    /// The write was certainly not applied, or the read-back was not answered.
     Failed,
     /// The write was not applied, because another generation is in force.
     Stale {
@@ -53,13 +56,13 @@
     },
 }
 
-/// What the driver does next.
+/// What the caller of the step has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimEffect {
-    /// Write the row if the key is at this revision, 0 for an absent key, and
-    /// this generation is in force.
+    /// Write the row on two conditions: the key has this revision (0 if there
+    /// is no row), and this generation is in force.
     Write {
-        /// The revision expected.
+        /// The expected revision.
         expected: u64,
         /// The generation that has to be in force.
         generation: ClaimGeneration,
@@ -68,35 +71,37 @@
     },
     /// Read the row.
     ReadBack,
-    /// The step is over.
+    /// The step has ended.
     Done(ClaimOutcome),
 }
 
 /// How a step ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimOutcome {
-    /// The attempt holds the claim, and it alone may run.
+    /// The attempt holds the claim. Only this attempt may run.
     Held {
         /// The claim's revision.
         revision: u64,
     },
     /// The id is sealed.
     Sealed,
-    /// The attempt is given up, and no write of it can take effect any more.
+    /// The id is released, and no delayed write of the attempt can be applied
+    /// any more.
     Released,
     /// Another attempt holds the claim.
     TakenBy(ClaimRow),
-    /// The table could not be asked; nothing was written.
+    /// The table could not be reached; nothing was written.
     Unreachable,
-    /// A write may have been applied, or may still be.
+    /// A write may have been applied, or may be applied later.
     Undecided,
     /// The try took so long that a claim of its id may have been swept since.
     TryExpired,
-    /// The id is so old, by its caller's word, that its claim may have been swept.
+    /// According to the caller, the id is so old that its claim may have been
+    /// swept.
     IdExpired,
 }
 
-/// One attempt's way through claim, seal or release.
+/// Claims, seals or releases a request id for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimStep {
     identity: RequestIdentity,
@@ -111,10 +116,10 @@
 }
 
 impl ClaimStep {
-    /// A step of `attempt` towards `goal`.
+    /// A step that pursues `goal` for `attempt`.
     ///
-    /// [`ClaimGoal::Seal`] and [`ClaimGoal::Release`] are for unsent attempts
-    /// only; [`ClaimStep::seal_proof`] asks for the proof of that.
+    /// [`ClaimGoal::Seal`] and [`ClaimGoal::Release`] are only for unsent
+    /// attempts. [`ClaimStep::seal_proof`] therefore takes the unsent attempt.
     #[must_use]
     pub const fn new(
         identity: RequestIdentity,
@@ -147,15 +152,17 @@
         }
     }
 
-    /// The first effect: write where nothing should be yet, or, with the
-    /// `revision` of the attempt's own claim, in its place. `current` is the
-    /// generation that is thought to be in force.
+    /// Starts the step and returns the first effect.
+    ///
+    /// `revision` is 0 if there should be no row yet. Otherwise it is the
+    /// revision of the attempt's own claim, which the step overwrites.
+    /// `current` is the generation that the router believes to be in force.
     pub fn start(&mut self, revision: u64, current: ClaimGeneration) -> ClaimEffect {
         self.expected = revision;
         self.continue_in(current)
     }
 
-    /// The effect that follows an event.
+    /// Handles an event and returns the next effect.
     pub fn on(&mut self, event: ClaimEvent) -> ClaimEffect {
         match event {
             ClaimEvent::Written { revision } => self.done(self.success_outcome(revision)),
@@ -170,8 +177,9 @@
         }
     }
 
-    /// Goes on in the generation in force, unless a claim of the id that the
-    /// caller may count on could be gone by now.
+    /// Writes in the generation in force, unless an earlier claim of the id may
+    /// have been swept by now. Without that claim, the write could succeed
+    /// although the request has run.
     fn continue_in(&mut self, current: ClaimGeneration) -> ClaimEffect {
         if self.start.is_forgotten(current) {
             return self.done(ClaimOutcome::IdExpired);
@@ -183,11 +191,13 @@
         self.write(self.expected)
     }
 
-    /// No row: the first write of an id, unless the attempt held its claim.
+    /// Handles an absent row. If the attempt expected its own claim, that claim
+    /// was swept.
     fn absent(&mut self) -> ClaimEffect {
         match (self.expected, self.goal) {
             (0, _) => self.write(0),
-            // A swept claim is gone for good: no write of it is under way.
+            // A swept claim needs no release: no write of it is still under
+            // way.
             (_, ClaimGoal::Release) => self.done(ClaimOutcome::Released),
             _ => self.done(self.expiry_outcome()),
         }
@@ -250,13 +260,13 @@
         ClaimEffect::Done(outcome)
     }
 
-    /// The request.
+    /// The identity of the request.
     #[must_use]
     pub const fn identity(&self) -> &RequestIdentity {
         &self.identity
     }
 
-    /// What it wants of the id.
+    /// What the step should do with the request id.
     #[must_use]
     pub const fn goal(&self) -> ClaimGoal {
         self.goal
@@ -268,13 +278,13 @@
         self.outcome.as_ref()
     }
 
-    /// The proof that the request never runs, if the id is sealed; it consumes
-    /// the step's attempt.
+    /// Proves that the request never runs, if the id is sealed. Consumes the
+    /// attempt of the step.
     ///
     /// # Errors
     ///
-    /// Gives the attempt back if the step did not end at a seal, or if the
-    /// attempt is another one.
+    /// Returns the attempt if the id is not sealed, or if the attempt does not
+    /// belong to the step.
     pub fn seal_proof(&self, unsent: UnsentAttempt) -> Result<SealProof, UnsentAttempt> {
         let sealed = self.outcome == Some(ClaimOutcome::Sealed);
         if sealed && unsent.id() == self.row.attempt {
--- a/crates/guavawell-core/src/request/digest.rs
+++ b/crates/guavawell-core/src/request/digest.rs
@@ -1,4 +1,4 @@
-//! What a request asks, in short: two tries of one id have to ask the same.
+//! Digests by which requests that were sent under one id are compared.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,8 +11,9 @@
 
 /// The first 64 bits of the SHA-256 digest of a request's target and body.
 ///
-/// A caller that sends another request under an id that it used before is
-/// refused, instead of being given the first one's answer.
+/// If a caller sends another request under an id that it used before, the
+/// digests differ and the request is refused. The caller would get the answer
+/// to the first request otherwise.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -33,13 +34,13 @@
         Self(u64::from_be_bytes(prefix))
     }
 
-    /// Wraps a plain number.
+    /// The digest with this value.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The plain number.
+    /// The value of the digest.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
--- a/crates/guavawell-core/src/request/frame.rs
+++ b/crates/guavawell-core/src/request/frame.rs
@@ -1,8 +1,9 @@
-//! Checks a model engine's stream frame by frame.
+//! Validates the event stream of a model engine.
 //!
-//! Each event carries `<attempt>:<sequence>` as its id, from 0 without gaps.
-//! Whatever does not follow ends the attempt: a frame of another attempt, or
-//! of this one out of order, must never reach the caller.
+//! Each event, here called a frame, has the id `<attempt>:<sequence>`. Sequence
+//! numbers start at 0 and have no gaps. Any other frame ends the attempt, so
+//! that the caller never receives a frame of another attempt or a frame out of
+//! order.
 
 use serde::Deserialize;
 use thiserror::Error;
@@ -10,11 +11,11 @@
 use crate::id::AttemptId;
 use crate::id::TokenCount;
 
-/// The data of the event that ends a whole stream.
+/// The data of the event that ends a complete stream.
 pub const END_MARKER: &str = "[DONE]";
 
-/// What every chunk that carries a usage contains, with its quotes. Inside of
-/// generated text the quotes are escaped, so that the text cannot feign it.
+/// Part of every chunk that reports usage. Generated text cannot contain it,
+/// because quotes in the text are escaped.
 const USAGE_KEY: &str = "\"usage\"";
 
 /// The tokens that the engine counted for an attempt.
@@ -34,18 +35,18 @@
     }
 }
 
-/// What to do with a frame that follows.
+/// What to do with a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameAction {
     /// Relay its data to the caller.
     Chunk,
-    /// Relay its data; it carries the usage.
+    /// Relay its data, which reports the usage.
     Usage(StreamUsage),
-    /// The stream is whole: settle this usage, then send the end marker.
+    /// The stream is complete: charge this usage, then send the end marker.
     End(StreamUsage),
 }
 
-/// Why a frame ends its attempt.
+/// Why a frame is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The id is not `<attempt>:<sequence>`.
@@ -59,24 +60,24 @@
         /// The attempt that the frame names.
         found: AttemptId,
     },
-    /// The frame came before its turn, or again.
+    /// The frame does not have the next sequence number.
     #[error("frame {found} where frame {expected} was due")]
     OutOfOrder {
-        /// The sequence number that was due.
+        /// The next sequence number.
         expected: u64,
-        /// The sequence number that came.
+        /// The sequence number of the frame.
         found: u64,
     },
-    /// A frame came behind the end marker.
+    /// A frame followed the end marker.
     #[error("a frame behind the end marker")]
     AfterEnd,
-    /// The end marker came without a usage before it.
+    /// No usage was reported before the end marker.
     #[error("the end marker came before any usage")]
     NoUsage,
-    /// A usage came twice.
+    /// Usage was reported twice.
     #[error("a second usage")]
     SecondUsage,
-    /// The chunk with the usage cannot be read.
+    /// The chunk that reports the usage cannot be parsed.
     #[error("the usage cannot be read: {0}")]
     BadUsage(Box<str>),
 }
@@ -87,7 +88,7 @@
     usage: Option<StreamUsage>,
 }
 
-/// The state of one attempt's stream at the router that relays it.
+/// Validates the stream of one attempt at the router that relays it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrameCheck {
     attempt: AttemptId,
@@ -97,7 +98,7 @@
 }
 
 impl FrameCheck {
-    /// A stream of `attempt` from its first frame on.
+    /// A check of the stream of `attempt` from its first frame on.
     #[must_use]
     pub const fn new(attempt: AttemptId) -> Self {
         Self {
@@ -108,11 +109,12 @@
         }
     }
 
-    /// Checks the next event; after a fault the stream must not be read on.
+    /// Checks the next event. After an error, no more events may be accepted.
     ///
     /// # Errors
     ///
-    /// A [`FrameError`] for whatever does not follow.
+    /// Fails if the frame is not the next one of the attempt, or if its usage
+    /// is missing, repeated or malformed.
     pub fn accept(&mut self, id: &str, data: &str) -> Result<FrameAction, FrameError> {
         if self.ended {
             return Err(FrameError::AfterEnd);
@@ -166,20 +168,20 @@
         self.attempt
     }
 
-    /// Whether the end marker came, so that the answer is whole.
+    /// Whether the end marker was received, so that the answer is complete.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.ended
     }
 
-    /// Frames accepted so far, the end marker not counted.
+    /// The number of frames accepted so far, without the end marker.
     #[must_use]
     pub const fn accepted(&self) -> u64 {
         self.next_sequence
     }
 
-    /// The `Last-Event-ID` that resumes the stream behind the last accepted
-    /// frame; `None` to start at the first.
+    /// The `Last-Event-ID` that resumes the stream after the last accepted
+    /// frame; `None` if no frame was accepted.
     #[must_use]
     pub fn last_event_id(&self) -> Option<Box<str>> {
         let last = self.next_sequence.checked_sub(1)?;
@@ -187,8 +189,8 @@
     }
 }
 
-/// The parts of a frame's id. Only the form that engines are asked for is
-/// taken: 32 hex digits, a colon and a plain number.
+/// Splits a frame id into attempt and sequence number. Accepts only the exact
+/// format: 32 hex digits, a colon and decimal digits.
 fn parse_id(id: &str) -> Option<(AttemptId, u64)> {
     let (attempt, sequence) = id.split_once(':')?;
     let is_hex = attempt.len() == 32 && attempt.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/crates/guavawell-core/src/request/head/mod.rs
+++ b/crates/guavawell-core/src/request/head/mod.rs
@@ -1,7 +1,8 @@
-//! The head of a request: identity, idempotence, budget, deadline, priority.
+//! Parses the headers of a request: identity, idempotence, budget, deadline,
+//! priority and generation.
 //!
-//! Owns the fields' forms and limits. Whether a budget or a key exists is not
-//! known here.
+//! Checks the format and the limits of each header, but not whether a budget or
+//! a key exists.
 
 mod error;
 mod parse;
--- a/crates/guavawell-core/src/request/head/parse.rs
+++ b/crates/guavawell-core/src/request/head/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a request's head.
+//! Parses the headers of a request.
 
 use super::error::HeaderError;
 use super::error::HeaderErrors;
@@ -8,11 +8,11 @@
 use crate::id::OrganisationId;
 use crate::request::identity::RequestIdentity;
 
-/// The priority of a request that names none.
+/// The priority of a request without one.
 const DEFAULT_PRIORITY: u8 = 5;
 const MAX_PRIORITY: u8 = 9;
 
-/// The raw header values, `None` where a header is absent.
+/// The raw header values; `None` if a header is absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeadFields<'a> {
     /// `Idempotency-Key`.
@@ -29,30 +29,31 @@
     pub generation: Option<&'a str>,
 }
 
-/// A checked head.
+/// The validated headers of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedHead {
-    /// Under what the request is claimed, run and billed.
+    /// The identity under which the request is claimed, run and billed.
     pub identity: RequestIdentity,
-    /// Whether it may run more than once; `None` leaves it to the default.
+    /// Whether the request may run more than once; `None` for the default.
     pub idempotent: Option<bool>,
     /// The budget to draw on; `None` for the organisation's default.
     pub budget: Option<BudgetId>,
-    /// Refuse what cannot give its first token within this span.
+    /// Time within which the first token has to arrive. The request is refused
+    /// if that is not possible.
     pub deadline: Option<ClockSpan>,
-    /// 0 to 9; higher goes first.
+    /// 0 to 9; higher priorities are served first.
     pub priority: u8,
-    /// The generation in which the id was first used, by its caller's word.
+    /// The generation in which the id was first used, according to the caller.
     pub first_generation: Option<ClaimGeneration>,
 }
 
 impl ParsedHead {
-    /// Checks a head of `organisation`; `number`, drawn at random, becomes the
-    /// request id if the caller sent none.
+    /// Parses the headers of a request of `organisation`. `number`, drawn at
+    /// random, becomes the request id if the caller sent none.
     ///
     /// # Errors
     ///
-    /// Every fault that was found.
+    /// Returns all errors that were found.
     pub fn parse(
         organisation: OrganisationId,
         fields: HeadFields<'_>,
--- a/crates/guavawell-core/src/request/identity.rs
+++ b/crates/guavawell-core/src/request/identity.rs
@@ -1,4 +1,4 @@
-//! Who a request is: its organisation and its request id.
+//! Identifies a request by its organisation and its request id.
 
 use std::fmt;
 
@@ -12,17 +12,17 @@
 
 /// The prefix of request ids that routers mint; callers may not use it.
 ///
-/// A minted id has exactly one attempt. Were a caller free to send one again,
-/// a `not_run` given for it could turn out false.
+/// A minted id has exactly one attempt. If a caller could send a request under
+/// such an id, the request could run after a refusal with `not_run`.
 pub const MINTED_PREFIX: &str = "minted:";
 
-/// Why a caller's request id was not accepted.
+/// Why a caller's request id is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum IdentityError {
-    /// The text is not an id.
+    /// The text is not a valid id.
     #[error("Idempotency-Key: {0}")]
     BadId(#[from] IdError),
-    /// The text begins with the routers' own prefix.
+    /// The text begins with [`MINTED_PREFIX`].
     #[error(
         "Idempotency-Key: `{0}` begins with `{MINTED_PREFIX}`, which routers keep for ids of their own"
     )]
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if `text` is not an id, or begins with [`MINTED_PREFIX`].
+    /// Fails if `text` is not a valid id, or begins with [`MINTED_PREFIX`].
     pub fn from_caller(organisation: OrganisationId, text: &str) -> Result<Self, IdentityError> {
         let request: RequestId = text.parse()?;
         if text.starts_with(MINTED_PREFIX) {
@@ -58,8 +58,8 @@
         })
     }
 
-    /// The identity of a request without a caller's id; `number` is drawn at
-    /// random by the router.
+    /// The identity of a request whose caller sent no id. The router draws
+    /// `number` at random.
     ///
     /// # Panics
     ///
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn mint(organisation: OrganisationId, number: u128) -> Self {
         let text = format!("{MINTED_PREFIX}{number:032x}");
-        let request = text.parse().expect("a minted id is an id");
+        let request = text.parse().expect("a minted id is a valid id");
         Self {
             organisation,
             request,
--- a/crates/guavawell-core/src/request/mod.rs
+++ b/crates/guavawell-core/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! A request's life: identity, claims, seals, billing records and refusals.
+//! Requests: parsing, identity, claims, refusals and billing records.
 //!
-//! Owns what may be said of a request and what may run under its id. It never
-//! decides about tokens; that is the budget's.
+//! Decides which attempt may run under a request id, and what a caller may be
+//! told about its request. Tokens are reserved and charged by `crate::budget`.
 
 mod attempt;
 pub mod billing;
--- a/crates/guavawell-core/src/request/proof.rs
+++ b/crates/guavawell-core/src/request/proof.rs
@@ -1,28 +1,30 @@
-//! Proofs that a request was not run and will not be.
+//! Proofs that a request was not run and never will be.
 
 use super::attempt::UnsentAttempt;
 use super::identity::RequestIdentity;
 
-/// The request's id is sealed in the table: no attempt of it runs any more.
+/// Proves that the request id is sealed in the table, so that no attempt of it
+/// will ever run.
 ///
-/// Only the claim's state machine makes one, from the table's own answer.
+/// Only [`super::claim::ClaimStep::seal_proof`] creates one, after the table
+/// confirmed the seal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SealProof {
     identity: RequestIdentity,
 }
 
-/// A router minted the id and gave up its one attempt unsent.
+/// Proves that a router minted the id and gave up its only attempt unsent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MintedProof {
     identity: RequestIdentity,
 }
 
-/// What makes `not_run` true.
+/// A proof that a request was not run and never will be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotRunProof {
     /// The id is sealed.
     Sealed(SealProof),
-    /// The id was minted and its one attempt not sent.
+    /// The id was minted, and its only attempt was not sent.
     Minted(MintedProof),
 }
 
@@ -33,11 +35,11 @@
 }
 
 impl MintedProof {
-    /// A proof for a minted id, which consumes its one attempt.
+    /// A proof for a minted id. Consumes its only attempt.
     ///
     /// # Errors
     ///
-    /// Gives the attempt back if the caller chose the id.
+    /// Returns the attempt if the caller chose the id.
     pub fn new(identity: &RequestIdentity, unsent: UnsentAttempt) -> Result<Self, UnsentAttempt> {
         if !identity.minted {
             return Err(unsent);
--- a/crates/guavawell-core/src/request/reason.rs
+++ b/crates/guavawell-core/src/request/reason.rs
@@ -1,4 +1,4 @@
-//! Why a request is refused, and what HTTP says for it.
+//! Reasons for refusing a request, with their HTTP statuses.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The head or the body is not as the interface asks.
+    /// The headers or the body are invalid.
     BadRequest,
     /// The bearer key belongs to no organisation.
     Unauthorised,
@@ -21,35 +21,37 @@
     UnknownService,
     /// The body is larger than the limit.
     BodyTooLarge,
-    /// The caller sent too slowly.
+    /// The caller took too long to send the request.
     Timeout,
-    /// The budget's rest does not cover the request's worst case.
+    /// The rest of the budget does not cover the largest possible cost of the
+    /// request.
     BudgetExhausted,
-    /// Nobody who may spend the budget can be reached.
+    /// No router that may spend the budget can be reached.
     BudgetUnreachable,
-    /// Queues are full.
+    /// The request queues are full.
     Overloaded,
     /// The request cannot meet its deadline.
     Deadline,
-    /// No backend server can serve it.
+    /// No backend server can serve the request.
     NoBackend,
-    /// The platform is needed and cannot be reached.
+    /// The request needs the platform, which cannot be reached.
     PlatformUnreachable,
-    /// The id was refused for good before.
+    /// The id is sealed: an earlier try was refused permanently.
     Sealed,
-    /// The id has run or is running, and its answer cannot be given again.
+    /// A request with this id ran or is running, and its answer cannot be sent
+    /// again.
     AlreadyRan,
-    /// The id is older than claims are kept.
+    /// The id is older than the retention of claims.
     IdExpired,
     /// The id was used for another request.
     IdentityMismatch,
     /// The router is shutting down.
     Leaving,
-    /// The router does not hold a manifest yet.
+    /// The router has not loaded a manifest yet.
     NotReady,
     /// The backend server failed.
     BackendFailed,
-    /// The answer broke off.
+    /// The answer ended before it was complete.
     Interrupted,
 }
 
@@ -79,7 +81,7 @@
         Self::Interrupted,
     ];
 
-    /// The reason as it stands in problem documents and metrics.
+    /// The name of the reason in problem documents and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A short title for people.
+    /// A short title for the problem document.
     #[must_use]
     pub const fn title(self) -> &'static str {
         match self {
@@ -158,11 +160,12 @@
         }
     }
 
-    /// Whether the caller is better served by a final word than by a retry of
-    /// the same id, so that a seal is worth its write.
+    /// Whether to seal the request id, so that the caller gets a final
+    /// `not_run`.
     ///
-    /// A passing lack (overload, a leaving router) is not: callers' clients
-    /// retry it with the same id, which a seal would refuse for ever.
+    /// A seal costs a table write and refuses the id permanently. Temporary
+    /// conditions, such as overload or a router that is shutting down, are not
+    /// sealed, because clients retry them with the same id.
     #[must_use]
     pub const fn should_seal(self) -> bool {
         matches!(self, Self::BudgetExhausted | Self::Deadline)
--- a/crates/guavawell-core/src/request/refusal.rs
+++ b/crates/guavawell-core/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals whose outcome cannot say more than is proved.
+//! Refusals, whose constructors require proof of the outcome that they state.
 
 use std::fmt;
 
@@ -14,19 +14,22 @@
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// What a refusal says about its request.
+/// Whether a refused request was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalOutcome {
-    /// Final: it was not run and never will be under this id.
+    /// The request was not run and never will be under this id.
     NotRun,
     /// This try was not run; the same id may be sent again.
     Retry,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// A refusal, built only from what proves its outcome.
+/// A refusal of a request.
+///
+/// [`Refusal::not_run`] takes a proof of its outcome, and [`Refusal::retry`]
+/// consumes the unsent attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     outcome: RefusalOutcome,
@@ -37,7 +40,7 @@
 }
 
 impl Refusal {
-    /// Final: the request was not run and will not be.
+    /// Refuses a request that was not run and never will be under its id.
     #[must_use]
     pub fn not_run(
         _proof: &NotRunProof,
@@ -47,7 +50,8 @@
         Self::new(RefusalOutcome::NotRun, reason, detail)
     }
 
-    /// This try was not run; it consumes the attempt, which can no longer be sent.
+    /// Refuses a try that was not run. Consumes the attempt, which can then no
+    /// longer be sent.
     #[must_use]
     pub fn retry(
         _unsent: UnsentAttempt,
@@ -57,14 +61,14 @@
         Self::new(RefusalOutcome::Retry, reason, detail)
     }
 
-    /// No attempt was made yet: the request was refused by its head, its body
-    /// or the router's own state.
+    /// Refuses a request before an attempt was created, because of its headers,
+    /// its body or the state of the router.
     #[must_use]
     pub fn unattempted(reason: RefusalReason, detail: impl Into<Box<str>>) -> Self {
         Self::new(RefusalOutcome::Retry, reason, detail)
     }
 
-    /// The request may have run.
+    /// Refuses a request that may have run. Such a refusal is always inexact.
     #[must_use]
     pub fn unknown(reason: RefusalReason, detail: impl Into<Box<str>>) -> Self {
         let mut refusal = Self::new(RefusalOutcome::Unknown, reason, detail);
@@ -72,8 +76,8 @@
         refusal
     }
 
-    /// The most that can be said without a seal: `not_run` for a minted id,
-    /// `retry` for a caller's.
+    /// The strongest refusal that is possible without a seal: `not_run` for an
+    /// id that a router minted, `retry` for an id that the caller chose.
     #[must_use]
     pub fn unsealed(
         identity: &RequestIdentity,
@@ -87,14 +91,15 @@
         }
     }
 
-    /// The refusal with a hint when a later try may work.
+    /// Adds the time after which a retry may succeed.
     #[must_use]
     pub const fn after(mut self, span: ClockSpan) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// The refusal marked as saying less than could have been known.
+    /// Marks the refusal as inexact: its outcome is weaker than the one that
+    /// the router could have proved under better conditions.
     #[must_use]
     pub const fn inexact(mut self) -> Self {
         self.inexact = true;
@@ -111,7 +116,7 @@
         }
     }
 
-    /// What the refusal says about its request.
+    /// Whether the request was run.
     #[must_use]
     pub const fn outcome(&self) -> RefusalOutcome {
         self.outcome
@@ -129,7 +134,7 @@
         self.reason.status()
     }
 
-    /// When a later try may work, if it may.
+    /// The time after which a retry may succeed, if known.
     #[must_use]
     pub const fn retry_after(&self) -> Option<ClockSpan> {
         self.retry_after
@@ -142,7 +147,8 @@
         Some(span.as_millis().div_ceil(MILLIS_PER_SECOND))
     }
 
-    /// Whether the refusal said less than could have been known.
+    /// Whether the outcome is weaker than the one that the router could have
+    /// proved under better conditions.
     #[must_use]
     pub const fn is_inexact(&self) -> bool {
         self.inexact
@@ -166,7 +172,7 @@
 }
 
 impl RefusalOutcome {
-    /// The outcome as it stands in problem documents and metrics.
+    /// The name of the outcome in problem documents and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -193,19 +199,19 @@
     pub title: Box<str>,
     /// The HTTP status.
     pub status: u16,
-    /// What happened in this case.
+    /// What happened, for people.
     pub detail: Box<str>,
-    /// What the refusal says about the request.
+    /// Whether the request was run.
     pub outcome: RefusalOutcome,
-    /// Why.
+    /// The reason for the refusal.
     pub reason: RefusalReason,
-    /// When a later try may work, in milliseconds.
+    /// The time after which a retry may succeed, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The request id, where it is known.
+    /// The request id, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<Box<str>>,
-    /// The organisation, where it is known.
+    /// The organisation, if known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub organisation: Option<Box<str>>,
 }
@@ -215,9 +221,9 @@
     ///
     /// # Panics
     ///
-    /// Never: it holds text and numbers only.
+    /// Never: the document contains only strings and numbers.
     #[must_use]
     pub fn to_json(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("text and numbers serialise")
+        serde_json::to_vec(self).expect("strings and numbers can be serialised")
     }
 }
--- a/crates/guavawell-core/src/request/tests.rs
+++ b/crates/guavawell-core/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Tables of heads, bodies, frames and refusals.
+//! Tests of headers, chat bodies, frames and refusals.
 
 use super::FrameAction;
 use super::FrameCheck;
