--- a/crates/guavawell-core/tests/claims/main.rs
+++ b/crates/guavawell-core/tests/claims/main.rs
@@ -1,5 +1,6 @@
-//! Every interleaving of a few routers that claim, seal and release one id
-//! over a table whose answers are lost and whose writes may arrive late.
+//! Searches every interleaving of a few routers that claim, seal and release
+//! one request id. Responses of the table may be lost and writes may be
+//! delayed.
 
 mod simulation;
 
@@ -21,7 +22,7 @@
 #[test]
 fn a_refusal_without_a_seal_is_detected() {
     let result = search(Some(InjectedFault::NotRunWithoutSeal));
-    assert_eq!(result.violation, Some("ran behind a not_run"));
+    assert_eq!(result.violation, Some("ran after a not_run"));
 }
 
 #[test]
@@ -39,7 +40,7 @@
 #[test]
 fn a_seal_written_over_another_claim_is_detected() {
     let result = search(Some(InjectedFault::SealOverClaim));
-    assert_eq!(result.violation, Some("ran behind a not_run"));
+    assert_eq!(result.violation, Some("ran after a not_run"));
 }
 
 #[test]
@@ -63,7 +64,7 @@
         ClaimGoal::Seal,
         Some(InjectedFault::WriteWithoutGenerationCheck),
     );
-    assert_eq!(result.violation, Some("ran behind a not_run"));
+    assert_eq!(result.violation, Some("ran after a not_run"));
 }
 
 #[test]
--- a/crates/guavawell-core/tests/claims/simulation.rs
+++ b/crates/guavawell-core/tests/claims/simulation.rs
@@ -1,4 +1,4 @@
-//! The searched world: routers, one row, writes on their way.
+//! The simulated state: routers, one table row and delayed writes.
 
 use std::collections::HashSet;
 
@@ -19,26 +19,27 @@
 use guavawell_core::retention::TryStart;
 use guavawell_core::retention::may_sweep;
 
-/// Answers lost or writes delayed in one history.
+/// Maximum number of lost responses and delayed writes in one history.
 const MAX_LOSSES: u8 = 2;
-/// Outages met in one history.
+/// Maximum number of failed table operations in one history.
 const MAX_OUTAGES: u8 = 1;
 /// The last generation of a history with sweeps: the first in which a claim of
-/// generation 1 may go.
+/// generation 1 may be swept.
 const LAST_GENERATION: u64 = KEPT_GENERATIONS + 3;
-/// Answers lost or writes delayed in one history with sweeps.
+/// Maximum number of lost responses and delayed writes in one history with
+/// sweeps.
 const MAX_LOSSES_WITH_SWEEPS: u8 = 1;
 
-/// A mistake planted in the routers.
+/// A fault injected into the routers, the table or the sweep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     NotRunWithoutSeal,
     UnansweredCountsAsHeld,
     OverwriteWithoutReadBack,
     SealOverClaim,
-    /// Writes that do not compare the generation.
+    /// The table does not check the generation of a write.
     WriteWithoutGenerationCheck,
-    /// A sweep one generation too early.
+    /// Rows are swept one generation too early.
     SweepTooEarly,
 }
 
@@ -47,7 +48,7 @@
     step: ClaimStep,
     attempt: u8,
     releasing: bool,
-    /// `None` before the try begins.
+    /// `None` until the try starts.
     effect: Option<ClaimEffect>,
 }
 
@@ -107,13 +108,13 @@
         }
     }
 
-    /// Begins the try in the generation in force.
+    /// Starts the try in the generation in force.
     fn begin(&mut self, generation: u64) {
         self.step = step(self.step.goal(), self.attempt, generation);
         self.effect = Some(self.step.start(0, ClaimGeneration::new(generation)));
     }
 
-    /// The same attempt, unsent, turned to another goal.
+    /// Pursues another goal with the same, unsent attempt.
     fn change_goal(&mut self, goal: ClaimGoal, revision: u64, generation: u64) {
         self.step = step(goal, self.attempt, generation);
         self.releasing = goal == ClaimGoal::Release;
@@ -122,7 +123,7 @@
     }
 }
 
-/// Searches every history without sweeps; ends at the first breach.
+/// Searches every history without sweeps. Stops at the first violation.
 pub fn search(fault: Option<InjectedFault>) -> SearchResult {
     search_from(
         &[ClaimGoal::Run, ClaimGoal::Run, ClaimGoal::Seal],
@@ -131,14 +132,15 @@
     )
 }
 
-/// Searches every history in which generations end at any moment, and rows go
-/// as soon as they may. The second try, `second`, begins at the latest in the
-/// last generation in which it may count on a claim of generation 0.
+/// Searches every history in which generations end at any time and rows may be
+/// swept as soon as that is allowed. The last generation in which the second
+/// try, `second`, may start is the last one in which a try still finds a claim
+/// of generation 0.
 pub fn search_with_sweeps(second: ClaimGoal, fault: Option<InjectedFault>) -> SearchResult {
     search_from(&[ClaimGoal::Run, second], Some(KEPT_GENERATIONS), fault)
 }
 
-/// `last_start`: the last generation in which a try begins; `None` without
+/// `last_start` is the last generation in which a try may start; `None` without
 /// sweeps.
 fn search_from(
     goals: &[ClaimGoal],
@@ -183,7 +185,7 @@
         if self.runs > 1 {
             return Some("ran twice");
         }
-        (self.not_run && self.runs > 0).then_some("ran behind a not_run")
+        (self.not_run && self.runs > 0).then_some("ran after a not_run")
     }
 
     fn successors(&self, fault: Option<InjectedFault>, pending: &mut Vec<Self>) {
@@ -194,8 +196,9 @@
             pending.push(simulation);
         }
         for index in 0..self.routers.len() {
-            // A router that crashes just stops: every prefix is searched, and
-            // a crash frees nothing, so it needs no action of its own.
+            // Crashes need no action of their own. A crashed router just stops,
+            // which every prefix of a history covers, and a crash releases
+            // nothing.
             match self.routers[index].effect.clone() {
                 None => {}
                 Some(ClaimEffect::Write {
@@ -216,7 +219,8 @@
         }
     }
 
-    /// What time does: a try begins, a generation ends, a row is swept.
+    /// Adds the effects of time: a try starts, a generation ends, the row is
+    /// swept.
     fn advance_time(&self, last_start: u64, fault: Option<InjectedFault>, pending: &mut Vec<Self>) {
         for index in 0..self.routers.len() {
             if self.routers[index].effect.is_none() && self.generation <= last_start {
@@ -227,7 +231,8 @@
         }
         if self.generation < LAST_GENERATION {
             let mut simulation = self.clone();
-            // Nothing tells the generations between from the first of them.
+            // Skips the generations in between, which do not differ from
+            // generation 1.
             simulation.generation = match self.generation {
                 1 => KEPT_GENERATIONS,
                 generation => generation + 1,
@@ -352,7 +357,8 @@
         router.effect = Some(router.step.on(event));
     }
 
-    /// Carries a write out if its condition holds; tells what its writer would hear.
+    /// Applies a write if its conditions hold. Returns the event for its
+    /// writer.
     fn apply(&mut self, write: &DelayedWrite, fault: Option<InjectedFault>) -> ClaimEvent {
         let current = self.row.as_ref().map_or(0, |stored| stored.revision);
         if current != write.expected {
