--- a/crates/guavawell-core/src/request/billing/audit.rs
+++ b/crates/guavawell-core/src/request/billing/audit.rs
@@ -1,83 +1,84 @@
-//! Sums billing records and compares them with a budget's row.
+//! Compares the sums of billing records with a budget's row.
 
 use super::fold::BillingFold;
 use crate::budget::BudgetRow;
 use crate::id::BudgetId;
 use crate::id::TokenCount;
 
-/// How records and row differ.
+/// Difference between the billing records and the budget's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuditGap {
     /// They agree.
     None,
-    /// The row settled tokens that no record tells of: a segment is not
-    /// durable yet, or is lost.
+    /// The row settled tokens without a record: a segment is not durable yet,
+    /// or is lost.
     Unrecorded(TokenCount),
-    /// Records tell of tokens that a holder has not reported to the row yet;
-    /// they lie within its open grants.
+    /// Records contain tokens that a holder has not reported to the row yet.
+    /// The row's grants and frozen tokens cover them.
     Unreported(TokenCount),
-    /// Records tell of more tokens than the row's grants covered.
+    /// Records contain more tokens than the row's grants and frozen tokens
+    /// cover.
     Overdrawn(TokenCount),
 }
 
-/// One budget's audit.
+/// Result of the audit of one budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AuditLine {
+pub struct AuditResult {
     /// The budget.
     pub budget: BudgetId,
-    /// The sum paid.
+    /// Tokens that were paid for.
     pub paid: TokenCount,
-    /// Tokens that the row holds as settled.
+    /// Tokens that are settled in the row.
     pub settled: TokenCount,
-    /// Tokens of the charges that stand.
+    /// Tokens of the charges that are kept.
     pub charged: TokenCount,
-    /// Tokens charged a second time and not given back yet.
+    /// Tokens of repeated charges that were not refunded yet.
     pub owed: TokenCount,
-    /// How records and row differ.
+    /// Difference between the billing records and the budget's row.
     pub gap: AuditGap,
 }
 
-/// Audits one budget. `refunded` is what earlier refunds took out of the
-/// row's settled tokens.
+/// Audits one budget. `refunded` is the number of tokens that earlier refunds
+/// subtracted from the settled tokens of the row.
 #[must_use]
 pub fn audit_budget(
     budget: &BudgetId,
     row: &BudgetRow,
     refunded: TokenCount,
     fold: &BillingFold,
-) -> AuditLine {
+) -> AuditResult {
     let charged = fold.charged(budget);
-    let second = fold.owed(budget);
-    let owed = second.saturating_sub(refunded);
-    let recorded = charged.saturating_add(second);
+    let duplicate = fold.owed(budget);
+    let owed = duplicate.saturating_sub(refunded);
+    let recorded = charged.saturating_add(duplicate);
     let settled = row.settled.saturating_add(refunded);
-    AuditLine {
+    AuditResult {
         budget: budget.clone(),
         paid: row.paid,
         settled: row.settled,
         charged,
         owed,
-        gap: gap(recorded, settled, uncommitted(row)),
+        gap: gap(recorded, settled, outstanding(row)),
     }
 }
 
-/// Tokens out with holders: granted or frozen, and not settled in the row.
-fn uncommitted(row: &BudgetRow) -> TokenCount {
+/// Tokens that are granted or frozen, and not settled in the row.
+fn outstanding(row: &BudgetRow) -> TokenCount {
     let open: TokenCount = row.grants.iter().map(|grant| grant.open).sum();
     let frozen: TokenCount = row.frozen.iter().map(|frozen| frozen.tokens).sum();
     open.saturating_add(frozen)
 }
 
-fn gap(recorded: TokenCount, settled: TokenCount, out: TokenCount) -> AuditGap {
+fn gap(recorded: TokenCount, settled: TokenCount, outstanding: TokenCount) -> AuditGap {
     if recorded == settled {
         return AuditGap::None;
     }
     if recorded < settled {
         return AuditGap::Unrecorded(settled.saturating_sub(recorded));
     }
-    let ahead = recorded.saturating_sub(settled);
-    match ahead.checked_sub(out) {
-        Some(beyond) if beyond > TokenCount::ZERO => AuditGap::Overdrawn(beyond),
-        _ => AuditGap::Unreported(ahead),
+    let unsettled = recorded.saturating_sub(settled);
+    match unsettled.checked_sub(outstanding) {
+        Some(overdrawn) if overdrawn > TokenCount::ZERO => AuditGap::Overdrawn(overdrawn),
+        _ => AuditGap::Unreported(unsettled),
     }
 }
--- a/crates/guavawell-core/src/request/billing/chain.rs
+++ b/crates/guavawell-core/src/request/billing/chain.rs
@@ -1,9 +1,15 @@
-//! Finds missing and doubled records without the budget's row.
+//! Finds missing and duplicate billing records by their running totals.
 //!
-//! Each record names the sum of its pool's charges in its slot and tenure, its
-//! own included. The records of one pool therefore lie end to end from zero; a
-//! hole is a lost record, an overlap one that was made up or counted twice.
-//! Records that a takeover told again have no place of their own.
+//! Each record contains the running total of the charges to its pool in its
+//! slot and tenure, its own charge included. So the record covers the range of
+//! tokens that ends at this total. The records of one slot, tenure and pool
+//! form a chain: their ranges start at zero and follow each other without gaps.
+//! A gap means that a record was lost. An overlap means that a record was
+//! forged or a charge was counted twice.
+//!
+//! The budget's row is only needed to find records that are missing at the end
+//! of a chain. Records that a new holder wrote again after a takeover have no
+//! range.
 
 use super::record::BillingRecord;
 use crate::budget::BudgetRow;
@@ -13,75 +19,75 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// Whose charges lie end to end.
+/// Identifies a chain of records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainName {
     /// The slot that charged.
     pub slot: SlotId,
-    /// Its holder's tenure.
+    /// The tenure of the slot's holder.
     pub tenure: SlotEpoch,
     /// The pool that paid.
     pub pool: TokenPool,
 }
 
-/// What is wrong with a chain.
+/// An error in a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChainFault {
-    /// Tokens were charged that no record tells of.
+    /// Tokens were charged without a record.
     Missing(TokenCount),
-    /// Tokens are told of by two records.
+    /// Tokens are covered by two records.
     Doubled(TokenCount),
-    /// The row holds tokens after the last record: its segment is not durable
-    /// yet, or is lost.
+    /// The budget's row includes tokens after the last record: the segment with
+    /// their record is not durable yet, or is lost.
     Trailing(TokenCount),
 }
 
-/// One place where records do not lie end to end.
+/// A gap or an overlap in a chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainGap {
     /// The chain.
     pub chain: ChainName,
-    /// Tokens of the chain before the place.
+    /// Tokens of the chain before the gap or the overlap.
     pub after: TokenCount,
-    /// What is wrong there.
+    /// What is wrong.
     pub fault: ChainFault,
 }
 
-/// The chains of one budget.
+/// Result of checking the chains of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainAudit {
-    /// Chains looked at.
+    /// Number of chains.
     pub chains: usize,
-    /// Records with a place in one of them.
+    /// Number of records with a range in one of the chains.
     pub records: usize,
-    /// Every place where records do not lie end to end.
+    /// All gaps and overlaps.
     pub gaps: Vec<ChainGap>,
 }
 
-/// Checks that a budget's records lie end to end, and reach as far as what
-/// the row says was reported.
+/// Checks that the chains of a budget have no gaps or overlaps, and that they
+/// reach the totals that the budget's row reports.
 #[must_use]
 pub fn audit_chains(budget: &BudgetId, row: &BudgetRow, records: &[BillingRecord]) -> ChainAudit {
-    let mut placed: Vec<&BillingRecord> = records
+    let mut sorted: Vec<&BillingRecord> = records
         .iter()
-        .filter(|record| record.budget == *budget && has_place(record))
+        .filter(|record| record.budget == *budget && has_range(record))
         .collect();
-    placed.sort_by(|left, right| {
+    sorted.sort_by(|left, right| {
         let order = chain_key(left).cmp(&chain_key(right));
         let order = order.then(left.counted.cmp(&right.counted));
-        let order = order.then(start(left).cmp(&start(right)));
+        let order = order.then(range_start(left).cmp(&range_start(right)));
         let order = order.then(left.identity.cmp(&right.identity));
         order.then(left.attempt.cmp(&right.attempt))
     });
-    // A former holder may have told of an attempt that its successor charged:
-    // each chain keeps its own record of it.
-    placed
+    // Two holders of a slot may have recorded the same attempt. Each chain
+    // keeps its own record of it.
+    sorted
         .dedup_by(|left, right| chain_key(left) == chain_key(right) && left.is_same_charge(right));
     let mut audit = ChainAudit {
-        records: placed.len(),
+        records: sorted.len(),
         ..ChainAudit::default()
     };
-    for chain in placed.chunk_by(|left, right| chain_key(left) == chain_key(right)) {
+    for chain in sorted.chunk_by(|left, right| chain_key(left) == chain_key(right)) {
         audit.chains += 1;
         check_chain(chain, row, &mut audit.gaps);
     }
@@ -89,20 +95,22 @@
 }
 
 impl BillingRecord {
-    /// Whether both records tell of some of the same tokens: those of one slot,
-    /// tenure and pool lie end to end, so that the budget's row holds such
-    /// tokens once.
+    /// Whether the ranges of both records overlap. The budget's row includes
+    /// the tokens in the overlap only once.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
-        let is_one_chain = self.budget == other.budget && chain_key(self) == chain_key(other);
-        let is_placed = has_place(self) && has_place(other);
-        is_one_chain && is_placed && start(self) < other.counted && start(other) < self.counted
+        let is_same_chain = self.budget == other.budget && chain_key(self) == chain_key(other);
+        let have_ranges = has_range(self) && has_range(other);
+        is_same_chain
+            && have_ranges
+            && range_start(self) < other.counted
+            && range_start(other) < self.counted
     }
 }
 
-/// A charge paid from what a takeover froze, or told again by a successor, has
-/// no place.
-fn has_place(record: &BillingRecord) -> bool {
+/// Whether the record has a range. A charge that was paid from tokens frozen by
+/// a takeover, or recorded again by a successor, has none.
+fn has_range(record: &BillingRecord) -> bool {
     record.counted != TokenCount::ZERO && record.counted != TokenCount::new(u64::MAX)
 }
 
@@ -111,7 +119,7 @@
     (&record.slot, record.tenure, is_float)
 }
 
-const fn start(record: &BillingRecord) -> TokenCount {
+const fn range_start(record: &BillingRecord) -> TokenCount {
     record.counted.saturating_sub(record.charged)
 }
 
@@ -124,33 +132,34 @@
         tenure: first.tenure,
         pool: first.pool,
     };
-    let mut note = |after, fault| {
+    let mut report = |after, fault| {
         gaps.push(ChainGap {
             chain: name.clone(),
             after,
             fault,
         });
     };
-    let mut reached = TokenCount::ZERO;
+    let mut covered = TokenCount::ZERO;
     for record in chain {
-        let begin = start(record);
-        if begin > reached {
-            note(reached, ChainFault::Missing(begin.saturating_sub(reached)));
-        } else if begin < reached {
-            note(begin, ChainFault::Doubled(reached.saturating_sub(begin)));
+        let start = range_start(record);
+        if start > covered {
+            report(covered, ChainFault::Missing(start.saturating_sub(covered)));
+        } else if start < covered {
+            report(start, ChainFault::Doubled(covered.saturating_sub(start)));
         }
-        reached = reached.max(record.counted);
+        covered = covered.max(record.counted);
     }
     let reported = reported(first, row);
-    if reported > reached {
-        note(
-            reached,
-            ChainFault::Trailing(reported.saturating_sub(reached)),
+    if reported > covered {
+        report(
+            covered,
+            ChainFault::Trailing(reported.saturating_sub(covered)),
         );
     }
 }
 
-/// What the row holds of the chain's tenure, if that is the grant's.
+/// The total that the budget's row reports for the chain; zero if the slot's
+/// grant has another tenure.
 fn reported(record: &BillingRecord, row: &BudgetRow) -> TokenCount {
     let grant = row.grant(&record.slot);
     let grant = grant.filter(|grant| grant.tenure == record.tenure);
--- a/crates/guavawell-core/src/request/billing/mod.rs
+++ b/crates/guavawell-core/src/request/billing/mod.rs
@@ -1,8 +1,8 @@
-//! Billing records: folded by identity, kept until durable, audited.
+//! Billing records: their journal, refunds of repeated charges, and audits.
 //!
-//! A charge is decided by the budget's slot; this folder keeps the proof of
-//! it. A second record of one identity charges nothing: the fold finds it and
-//! asks for its refund.
+//! The holder of a budget's slot decides on a charge, and this module records
+//! it. If a request is charged more than once, one charge is kept and the
+//! others are refunded.
 
 mod audit;
 mod buffer;
@@ -17,7 +17,7 @@
 mod window;
 
 pub use audit::AuditGap;
-pub use audit::AuditLine;
+pub use audit::AuditResult;
 pub use audit::audit_budget;
 pub use buffer::JournalBuffer;
 pub use buffer::JournalPolicy;
@@ -26,9 +26,9 @@
 pub use chain::ChainGap;
 pub use chain::ChainName;
 pub use chain::audit_chains;
-pub use doubt::DoubtAnswer;
 pub use doubt::DoubtCase;
-pub use doubt::EngineWord;
+pub use doubt::DoubtResolution;
+pub use doubt::EngineReport;
 pub use doubt::resolve_doubt;
 pub use fold::BillingFold;
 pub use fold::RefundIntent;
--- a/crates/guavawell-core/src/request/chat/prompt.rs
+++ b/crates/guavawell-core/src/request/chat/prompt.rs
@@ -1,25 +1,25 @@
-//! Counts a prompt's bytes, which bound its tokens, and keeps its head.
+//! Counts the tokens of a prompt by its size, and keeps its first bytes.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use super::fault::ChatFault;
+use super::error::ChatError;
 use crate::id::TokenCount;
 
-/// Bytes of message contents that make one token.
+/// Bytes of message contents that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Bytes kept of a prompt's head.
-const HEAD_BYTES: usize = 64;
+/// Bytes of a prompt that are kept in [`PromptText::head`].
+const MAX_HEAD_BYTES: usize = 64;
 
-/// What the router needs of a prompt.
+/// The properties of a prompt that the router needs.
 #[derive(Debug, Default)]
 pub(super) struct PromptText {
-    /// Bytes of all contents.
+    /// Size of all contents, in bytes.
     bytes: u64,
-    /// The first bytes of the contents, put together.
+    /// The first bytes of the concatenated contents.
     pub head: Vec<u8>,
 }
 
@@ -31,8 +31,8 @@
 
     fn add(&mut self, text: &str) {
         self.bytes += text.len() as u64;
-        let missing = HEAD_BYTES - self.head.len();
-        let part = &text.as_bytes()[..text.len().min(missing)];
+        let remaining = MAX_HEAD_BYTES - self.head.len();
+        let part = &text.as_bytes()[..text.len().min(remaining)];
         self.head.extend_from_slice(part);
     }
 }
@@ -60,31 +60,31 @@
     text: Option<Cow<'a, str>>,
 }
 
-/// The prompt of a list of messages, or what is wrong with them.
-pub(super) fn prompt_text(
+/// Parses a list of messages. Adds all errors that it finds to `errors`.
+pub(super) fn parse_messages(
     messages: &RawValue,
     limit: usize,
-    faults: &mut Vec<ChatFault>,
+    errors: &mut Vec<ChatError>,
 ) -> PromptText {
     let mut prompt = PromptText::default();
     let Ok(list) = serde_json::from_str::<Vec<&RawValue>>(messages.get()) else {
-        faults.push(ChatFault::WrongType {
+        errors.push(ChatError::WrongType {
             field: "messages",
             wanted: "a list",
         });
         return prompt;
     };
     if list.is_empty() {
-        faults.push(ChatFault::NoMessages);
+        errors.push(ChatError::NoMessages);
     }
     if list.len() > limit {
         let count = list.len();
-        faults.push(ChatFault::TooManyMessages { count, limit });
+        errors.push(ChatError::TooManyMessages { count, limit });
         return prompt;
     }
     for (place, message) in list.iter().enumerate() {
         if let Err(detail) = add_message(message, &mut prompt) {
-            faults.push(ChatFault::BadMessage { place, detail });
+            errors.push(ChatError::BadMessage { place, detail });
         }
     }
     prompt
@@ -109,8 +109,8 @@
     }
 }
 
-/// Only text is counted in tokens; the cost of any other part is not known
-/// before it runs, so it cannot be reserved.
+/// Adds a text part. Rejects all other kinds, because the cost of such a part
+/// is not known before the request runs and can therefore not be reserved.
 fn add_part(part: &ContentPart<'_>, prompt: &mut PromptText) -> Result<(), Box<str>> {
     match &part.text {
         Some(text) if part.kind == "text" => {
--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -11,21 +11,22 @@
 use crate::request::proof::SealProof;
 use crate::retention::TryStart;
 
-/// Most writes of one step; each one but the first follows a read-back.
-const MAX_WRITES: u8 = 3;
+/// Maximum number of writes in one step. Each further write follows a failed
+/// condition, a read-back or a change of the generation.
+const MAX_WRITE_ATTEMPTS: u8 = 3;
 
-/// What a step wants of the id.
+/// What a step should do with the request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimGoal {
-    /// The attempt wants to run.
+    /// Claim the id, so that the attempt may run.
     Run,
-    /// The attempt, unsent, is refused for good.
+    /// Seal the id, because the unsent attempt is refused permanently.
     Seal,
-    /// The attempt, unsent, is given up and the id freed.
+    /// Release the id, because the unsent attempt is given up.
     Release,
 }
 
-/// What the table's driver reports.
+/// Result of a table operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimEvent {
     /// The write was applied at this revision.
@@ -33,18 +34,20 @@
         /// The row's revision.
         revision: u64,
     },
-    /// The write's condition did not hold, or a read back found this row.
+    /// The revision differed from the expected one, or this is the result of a
+    /// read-back. The row exists.
     Found {
         /// The row.
         row: ClaimRow,
         /// Its revision.
         revision: u64,
     },
-    /// A read back found no row, or a condition failed without one.
+    /// The revision differed from the expected one, or this is the result of a
+    /// read-back. There is no row.
     Absent,
-    /// The write may have been applied.
-    Lost,
-    /// The write was certainly not applied, or the read back gave no answer.
+    /// The write was not answered and may have been applied.
+    Unanswered,
+    /// The write was certainly not applied, or the read-back was not answered.
     Failed,
     /// The write was not applied, because another generation is in force.
     Stale {
@@ -53,13 +56,13 @@
     },
 }
 
-/// What the driver does next.
+/// What the caller of the step has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClaimEffect {
-    /// Write the row if the key is at this revision, 0 for an absent key, and
-    /// this generation is in force.
+    /// Write the row on two conditions: the key has this revision (0 if there
+    /// is no row), and this generation is in force.
     Write {
-        /// The revision expected.
+        /// The expected revision.
         expected: u64,
         /// The generation that has to be in force.
         generation: ClaimGeneration,
@@ -68,35 +71,37 @@
     },
     /// Read the row.
     ReadBack,
-    /// The step is over.
-    Done(ClaimEnd),
+    /// The step has ended.
+    Done(ClaimOutcome),
 }
 
 /// How a step ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum ClaimEnd {
-    /// The attempt holds the claim, and it alone may run.
+pub enum ClaimOutcome {
+    /// The attempt holds the claim. Only this attempt may run.
     Held {
         /// The claim's revision.
         revision: u64,
     },
     /// The id is sealed.
     Sealed,
-    /// The attempt is given up, and no write of it can take effect any more.
+    /// The id is released, and no delayed write of the attempt can be applied
+    /// any more.
     Released,
     /// Another attempt holds the claim.
     TakenBy(ClaimRow),
-    /// The table could not be asked; nothing was written.
+    /// The table could not be reached; nothing was written.
     Unreachable,
-    /// A write may have been applied, or may still be.
+    /// A write may have been applied, or may be applied later.
     Undecided,
     /// The try took so long that a claim of its id may have been swept since.
-    Outlived,
-    /// The id is so old, by its caller's word, that its claim may have been swept.
-    Forgotten,
+    TryExpired,
+    /// According to the caller, the id is so old that its claim may have been
+    /// swept.
+    IdExpired,
 }
 
-/// One attempt's way through claim, seal or release.
+/// Claims, seals or releases a request id for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimStep {
     identity: RequestIdentity,
@@ -107,14 +112,14 @@
     expected: u64,
     writes: u8,
     in_doubt: bool,
-    end: Option<ClaimEnd>,
+    outcome: Option<ClaimOutcome>,
 }
 
 impl ClaimStep {
-    /// A step of `attempt` towards `goal`.
+    /// A step that pursues `goal` for `attempt`.
     ///
-    /// [`ClaimGoal::Seal`] and [`ClaimGoal::Release`] are for unsent attempts
-    /// only; [`ClaimStep::seal_proof`] asks for the proof of that.
+    /// [`ClaimGoal::Seal`] and [`ClaimGoal::Release`] are only for unsent
+    /// attempts. [`ClaimStep::seal_proof`] therefore takes the unsent attempt.
     #[must_use]
     pub const fn new(
         identity: RequestIdentity,
@@ -143,70 +148,79 @@
             expected: 0,
             writes: 0,
             in_doubt: false,
-            end: None,
+            outcome: None,
         }
     }
 
-    /// The first effect: write where nothing should be yet, or, with the
-    /// `revision` of the attempt's own claim, in its place. `current` is the
-    /// generation that is thought to be in force.
+    /// Starts the step and returns the first effect.
+    ///
+    /// `revision` is 0 if there should be no row yet. Otherwise it is the
+    /// revision of the attempt's own claim, which the step overwrites.
+    /// `current` is the generation that the router believes to be in force.
     pub fn start(&mut self, revision: u64, current: ClaimGeneration) -> ClaimEffect {
         self.expected = revision;
-        self.enter(current)
+        self.continue_in(current)
     }
 
-    /// The effect that follows an event.
+    /// Handles an event and returns the next effect.
     pub fn on(&mut self, event: ClaimEvent) -> ClaimEffect {
         match event {
-            ClaimEvent::Written { revision } => self.done(self.reached(revision)),
+            ClaimEvent::Written { revision } => self.done(self.success_outcome(revision)),
             ClaimEvent::Found { row, revision } => self.found(row, revision),
             ClaimEvent::Absent => self.absent(),
-            ClaimEvent::Lost => {
+            ClaimEvent::Unanswered => {
                 self.in_doubt = true;
                 ClaimEffect::ReadBack
             }
-            ClaimEvent::Failed => self.done(self.not_reached()),
-            ClaimEvent::Stale { current } => self.enter(current),
+            ClaimEvent::Failed => self.done(self.failure_outcome()),
+            ClaimEvent::Stale { current } => self.continue_in(current),
         }
     }
 
-    /// Goes on in the generation in force, unless a claim of the id that the
-    /// caller may count on could be gone by now.
-    fn enter(&mut self, current: ClaimGeneration) -> ClaimEffect {
+    /// Writes in the generation in force, unless an earlier claim of the id may
+    /// have been swept by now. Without that claim, the write could succeed
+    /// although the request has run.
+    fn continue_in(&mut self, current: ClaimGeneration) -> ClaimEffect {
         if self.start.is_forgotten(current) {
-            return self.done(ClaimEnd::Forgotten);
+            return self.done(ClaimOutcome::IdExpired);
         }
         if !self.start.may_write(current) {
-            return self.done(self.outlived());
+            return self.done(self.expiry_outcome());
         }
         self.generation = current;
         self.write(self.expected)
     }
 
-    /// No row: the first write of an id, unless the attempt held its claim.
+    /// Handles an absent row. If the attempt expected its own claim, that claim
+    /// was swept.
     fn absent(&mut self) -> ClaimEffect {
         match (self.expected, self.goal) {
             (0, _) => self.write(0),
-            // A swept claim is gone for good: no write of it is under way.
-            (_, ClaimGoal::Release) => self.done(ClaimEnd::Released),
-            _ => self.done(self.outlived()),
+            // A swept claim needs no release: no write of it is still under
+            // way.
+            (_, ClaimGoal::Release) => self.done(ClaimOutcome::Released),
+            _ => self.done(self.expiry_outcome()),
         }
     }
 
     fn found(&mut self, row: ClaimRow, revision: u64) -> ClaimEffect {
-        let own = row.attempt == self.row.attempt;
+        let is_own = row.attempt == self.row.attempt;
         match (row.state, self.goal) {
-            (ClaimState::Sealed, _) => self.done(ClaimEnd::Sealed),
-            (ClaimState::Claimed, ClaimGoal::Run) if own => self.done(ClaimEnd::Held { revision }),
-            (ClaimState::Released, ClaimGoal::Release) if own => self.done(ClaimEnd::Released),
-            (ClaimState::Claimed, _) if !own => self.done(ClaimEnd::TakenBy(row)),
+            (ClaimState::Sealed, _) => self.done(ClaimOutcome::Sealed),
+            (ClaimState::Claimed, ClaimGoal::Run) if is_own => {
+                self.done(ClaimOutcome::Held { revision })
+            }
+            (ClaimState::Released, ClaimGoal::Release) if is_own => {
+                self.done(ClaimOutcome::Released)
+            }
+            (ClaimState::Claimed, _) if !is_own => self.done(ClaimOutcome::TakenBy(row)),
             (ClaimState::Claimed | ClaimState::Released, _) => self.write(revision),
         }
     }
 
     fn write(&mut self, expected: u64) -> ClaimEffect {
-        if self.writes == MAX_WRITES {
-            return self.done(self.not_reached());
+        if self.writes == MAX_WRITE_ATTEMPTS {
+            return self.done(self.failure_outcome());
         }
         self.writes += 1;
         self.expected = expected;
@@ -217,42 +231,42 @@
         }
     }
 
-    const fn reached(&self, revision: u64) -> ClaimEnd {
+    const fn success_outcome(&self, revision: u64) -> ClaimOutcome {
         match self.goal {
-            ClaimGoal::Run => ClaimEnd::Held { revision },
-            ClaimGoal::Seal => ClaimEnd::Sealed,
-            ClaimGoal::Release => ClaimEnd::Released,
+            ClaimGoal::Run => ClaimOutcome::Held { revision },
+            ClaimGoal::Seal => ClaimOutcome::Sealed,
+            ClaimGoal::Release => ClaimOutcome::Released,
         }
     }
 
-    const fn not_reached(&self) -> ClaimEnd {
+    const fn failure_outcome(&self) -> ClaimOutcome {
         if self.in_doubt {
-            ClaimEnd::Undecided
+            ClaimOutcome::Undecided
         } else {
-            ClaimEnd::Unreachable
+            ClaimOutcome::Unreachable
         }
     }
 
-    const fn outlived(&self) -> ClaimEnd {
+    const fn expiry_outcome(&self) -> ClaimOutcome {
         if self.in_doubt {
-            ClaimEnd::Undecided
+            ClaimOutcome::Undecided
         } else {
-            ClaimEnd::Outlived
+            ClaimOutcome::TryExpired
         }
     }
 
-    fn done(&mut self, end: ClaimEnd) -> ClaimEffect {
-        self.end = Some(end.clone());
-        ClaimEffect::Done(end)
+    fn done(&mut self, outcome: ClaimOutcome) -> ClaimEffect {
+        self.outcome = Some(outcome.clone());
+        ClaimEffect::Done(outcome)
     }
 
-    /// The request.
+    /// The identity of the request.
     #[must_use]
     pub const fn identity(&self) -> &RequestIdentity {
         &self.identity
     }
 
-    /// What it wants of the id.
+    /// What the step should do with the request id.
     #[must_use]
     pub const fn goal(&self) -> ClaimGoal {
         self.goal
@@ -260,19 +274,19 @@
 
     /// How the step ended, if it has.
     #[must_use]
-    pub const fn end(&self) -> Option<&ClaimEnd> {
-        self.end.as_ref()
+    pub const fn outcome(&self) -> Option<&ClaimOutcome> {
+        self.outcome.as_ref()
     }
 
-    /// The proof that the request never runs, if the id is sealed; it consumes
-    /// the step's attempt.
+    /// Proves that the request never runs, if the id is sealed. Consumes the
+    /// attempt of the step.
     ///
     /// # Errors
     ///
-    /// Gives the attempt back if the step did not end at a seal, or if the
-    /// attempt is another one.
+    /// Returns the attempt if the id is not sealed, or if the attempt does not
+    /// belong to the step.
     pub fn seal_proof(&self, unsent: UnsentAttempt) -> Result<SealProof, UnsentAttempt> {
-        let sealed = self.end == Some(ClaimEnd::Sealed);
+        let sealed = self.outcome == Some(ClaimOutcome::Sealed);
         if sealed && unsent.id() == self.row.attempt {
             return Ok(SealProof::new(self.identity.clone()));
         }
--- a/crates/guavawell-core/src/request/head/mod.rs
+++ b/crates/guavawell-core/src/request/head/mod.rs
@@ -1,12 +1,13 @@
-//! The head of a request: identity, idempotence, budget, deadline, priority.
+//! Parses the headers of a request: identity, idempotence, budget, deadline,
+//! priority and generation.
 //!
-//! Owns the fields' forms and limits. Whether a budget or a key exists is not
-//! known here.
+//! Checks the format and the limits of each header, but not whether a budget or
+//! a key exists.
 
-mod fault;
-mod read;
+mod error;
+mod parse;
 
-pub use fault::HeadFault;
-pub use fault::HeadFaults;
-pub use read::HeadAsk;
-pub use read::HeadFields;
+pub use error::HeaderError;
+pub use error::HeaderErrors;
+pub use parse::HeadFields;
+pub use parse::ParsedHead;
--- a/crates/guavawell-core/src/request/mod.rs
+++ b/crates/guavawell-core/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! A request's life: identity, claims, seals, billing records and refusals.
+//! Requests: parsing, identity, claims, refusals and billing records.
 //!
-//! Owns what may be said of a request and what may run under its id. It never
-//! decides about tokens; that is the budget's.
+//! Decides which attempt may run under a request id, and what a caller may be
+//! told about its request. Tokens are reserved and charged by `crate::budget`.
 
 mod attempt;
 pub mod billing;
@@ -21,9 +21,9 @@
 pub use attempt::UnsentAttempt;
 pub use digest::RequestDigest;
 pub use frame::END_MARKER;
+pub use frame::FrameAction;
 pub use frame::FrameCheck;
-pub use frame::FrameFault;
-pub use frame::FrameStep;
+pub use frame::FrameError;
 pub use frame::StreamUsage;
 pub use identity::IdentityError;
 pub use identity::MINTED_PREFIX;
