--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -12,7 +12,7 @@
 mod calls;
 mod fleet_key;
 mod lend;
-mod lines;
+mod limits;
 mod peers;
 mod reserve;
 mod rows;
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -4,7 +4,7 @@
 //! This module holds the configurations themselves, and fetches newer ones from
 //! other instances while the store does not answer.
 
-mod others;
+mod peer_query;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,7 +27,7 @@
 use crate::clock::wait_due;
 use crate::clock::wait_while;
 
-pub use self::others::query_peers;
+pub use self::peer_query::query_peers;
 
 /// Time after which a newer version named by another instance is fetched from
 /// other instances, unless the store answers first. Normally a change reaches all
--- a/crates/guavawell-forward/src/http/mod.rs
+++ b/crates/guavawell-forward/src/http/mod.rs
@@ -9,7 +9,7 @@
 mod body;
 mod channel;
 mod head;
-mod tries;
+mod hedge;
 mod write;
 
 pub use body::BodyDecoder;
@@ -24,7 +24,7 @@
 pub use head::RequestHead;
 pub use head::ResponseHead;
 pub use head::is_hop_by_hop;
-pub use tries::HedgedTries;
-pub use tries::HedgedTry;
+pub use hedge::HedgedTries;
+pub use hedge::HedgedTry;
 pub use write::HeadWriter;
 pub use write::write_chunk;
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -4,7 +4,7 @@
 
 mod channels;
 mod key;
-mod question;
+mod message;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,8 +21,8 @@
 
 use self::channels::PeerChannels;
 use self::channels::PeerResponse;
-use self::question::read_config;
-use self::question::write_config;
+use self::message::read_config;
+use self::message::write_config;
 use crate::clock::SteadyClock;
 use crate::config::ConfigTracker;
 use crate::config::PeerConfig;
@@ -30,11 +30,11 @@
 use crate::http::HeadWriter;
 
 pub use self::key::FleetKey;
-pub(crate) use self::question::CONFIG_VERSION_FIELD;
-pub(crate) use self::question::PeerRequest;
-pub(crate) use self::question::ReceivedRequest;
-pub(crate) use self::question::read_loan_answer;
-pub(crate) use self::question::write_loan_answer;
+pub(crate) use self::message::CONFIG_VERSION_FIELD;
+pub(crate) use self::message::PeerRequest;
+pub(crate) use self::message::ReceivedRequest;
+pub(crate) use self::message::read_loan_answer;
+pub(crate) use self::message::write_loan_answer;
 
 /// Time for which an instance that did not answer is avoided, since each request to it
 /// would wait for its whole timeout. Doubled with each consecutive failure.
