--- a/crates/guavawell-forward/src/attempt.rs
+++ b/crates/guavawell-forward/src/attempt.rs
@@ -113,7 +113,7 @@
         server: server.clone(),
         fingerprint: call.fingerprint,
         organisation: OrganisationTag::of(organisation),
-        began: progress.suspicion,
+        suspicion: progress.suspicion,
     }
 }
 
--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -189,8 +189,8 @@
         organisation: &OrganisationId,
         loan: LoanRequest,
     ) -> Vec<(InstanceId, SocketAddr)> {
-        let held = self.ledger.borrow().lenders(organisation);
-        let mut candidates: Vec<(InstanceId, u64, SocketAddr)> = held
+        let lenders = self.ledger.borrow().lenders(organisation);
+        let mut candidates: Vec<(InstanceId, u64, SocketAddr)> = lenders
             .into_iter()
             .filter(|(_, free)| *free >= loan.needed.div_ceil(2))
             .filter_map(|(instance, free)| {
@@ -205,7 +205,7 @@
             .filter_map(|instance| Some((instance.clone(), self.peers.address_of(&instance)?)))
             .take(MAX_EARLY_LENDERS)
             .collect();
-        candidates.retain(|(instance, _, _)| chosen.iter().all(|(held, _)| held != instance));
+        candidates.retain(|(instance, _, _)| chosen.iter().all(|(known, _)| known != instance));
         while chosen.len() < MAX_LENDERS && !candidates.is_empty() {
             let sum: u64 = candidates.iter().map(|(_, free, _)| free).sum();
             let mut draw = fastrand::u64(..sum);
@@ -226,7 +226,7 @@
     /// Adds random instances up to [`MAX_LENDERS`].
     fn add_random_peers(&self, chosen: &mut Vec<(InstanceId, SocketAddr)>) {
         let mut others = self.peers.addresses();
-        others.retain(|(instance, _)| chosen.iter().all(|(held, _)| held != instance));
+        others.retain(|(instance, _)| chosen.iter().all(|(known, _)| known != instance));
         fastrand::shuffle(&mut others);
         others.truncate(MAX_LENDERS - chosen.len());
         chosen.append(&mut others);
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -263,10 +263,11 @@
     ) -> bool {
         let cut_off = self.is_cut_off();
         let ledger = self.ledger.borrow();
-        let may = |away| ledger.may_borrow(organisation, tokens, away, self.clock.now());
+        let may_borrow =
+            |cut_off| ledger.may_borrow(organisation, tokens, cut_off, self.clock.now());
         match answer {
-            ReserveAnswer::Short => may(cut_off || refused),
-            ReserveAnswer::Locked(_) => refused && may(true),
+            ReserveAnswer::Short => may_borrow(cut_off || refused),
+            ReserveAnswer::Locked(_) => refused && may_borrow(true),
             _ => false,
         }
     }
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -93,10 +93,15 @@
 impl ConfigTracker {
     /// Creates a tracker without a configuration.
     #[must_use]
-    pub fn new(pace: PollTiming, clock: SteadyClock, log: EventLog, decode: ConfigDecoder) -> Self {
+    pub fn new(
+        timing: PollTiming,
+        clock: SteadyClock,
+        log: EventLog,
+        decode: ConfigDecoder,
+    ) -> Self {
         Self {
-            overdue_after: pace.overdue_after(0),
-            answer_timeout: pace.poll_timeout(),
+            overdue_after: timing.overdue_after(0),
+            answer_timeout: timing.poll_timeout(),
             answer_event: Event::new(),
             query_due_at: Cell::new(None),
             query_wakeup: Event::new(),
@@ -145,7 +150,7 @@
     }
 
     /// Waits up to `max_wait` for an overdue answer of the store.
-    pub async fn await_check(&self, max_wait: ClockSpan) {
+    pub async fn await_answer(&self, max_wait: ClockSpan) {
         let awaited = || self.is_awaited();
         if !wait_while(&self.clock, &self.answer_event, max_wait, awaited).await {
             self.versions.borrow_mut().age_mut().wait_timed_out();
@@ -176,8 +181,8 @@
                 return None;
             }
             FetchedConfig::Unchanged => {
-                let step = self.versions.borrow_mut().store_unchanged(sent_at, now);
-                self.apply_step(step, None, sent_at, now);
+                let action = self.versions.borrow_mut().store_unchanged(sent_at, now);
+                self.apply_action(action, None, sent_at, now);
                 return None;
             }
         };
@@ -186,10 +191,10 @@
             .inspect_err(|error| self.record_unreadable(error, revision))
             .ok()?;
         let mut versions = self.versions.borrow_mut();
-        let step = versions.store_answered(config.version, revision, sent_at, now);
+        let action = versions.store_answered(config.version, revision, sent_at, now);
         drop(versions);
         self.cache_stored(&config, bytes);
-        self.apply_step(step, Some(&config), sent_at, now);
+        self.apply_action(action, Some(&config), sent_at, now);
         Some(config)
     }
 
@@ -249,12 +254,12 @@
         let stored = self.stored.borrow();
         let stored = stored
             .as_ref()
-            .filter(|held| held.config.version == version);
+            .filter(|cached| cached.config.version == version);
         let bytes = stored.filter(|_| version > known);
         Some(PeerConfig {
             version,
             age,
-            bytes: bytes.map_or(Vec::new(), |held| held.bytes.to_vec()),
+            bytes: bytes.map_or(Vec::new(), |cached| cached.bytes.to_vec()),
         })
     }
 
@@ -283,9 +288,9 @@
             return Err(format!("the answer names version {named}, its row has {held}").into());
         }
         let mut versions = self.versions.borrow_mut();
-        let step = versions.instance_answered(answer.version, answer.age, sent_at, now);
+        let action = versions.instance_answered(answer.version, answer.age, sent_at, now);
         drop(versions);
-        if step != ConfigAction::Apply {
+        if action != ConfigAction::Apply {
             return Ok(false);
         }
         let response_ms = now.since(sent_at).as_millis();
@@ -305,7 +310,7 @@
 
     fn cache_stored(&self, config: &Rc<ForwardConfig>, bytes: &[u8]) {
         let mut stored = self.stored.borrow_mut();
-        let newer = |held: &CachedConfig| held.config.version >= config.version;
+        let newer = |cached: &CachedConfig| cached.config.version >= config.version;
         if !stored.as_ref().is_some_and(newer) {
             *stored = Some(CachedConfig {
                 config: Rc::clone(config),
@@ -315,15 +320,15 @@
     }
 
     /// Carries out the decision that follows from an answer of the store.
-    fn apply_step(
+    fn apply_action(
         &self,
-        step: ConfigAction,
+        action: ConfigAction,
         fetched: Option<&Rc<ForwardConfig>>,
         sent_at: ClockTime,
         now: ClockTime,
     ) {
         self.answer_event.notify(usize::MAX);
-        match (step, fetched) {
+        match (action, fetched) {
             (ConfigAction::Apply, Some(config)) => {
                 self.activate(config, ConfigSource::Store, now.since(sent_at));
             }
@@ -336,7 +341,7 @@
         let previous = self.current.replace(Some(Rc::clone(config)));
         let draft = EventDraft::new("config.in_force")
             .field("version", config.version)
-            .field("before", previous.map_or(0, |held| held.version))
+            .field("before", previous.map_or(0, |config| config.version))
             .field("source", source.as_str())
             .field("age_ms", age.as_millis())
             .field("organisations", config.organisations.len());
@@ -349,7 +354,8 @@
     fn revert(&self) {
         let stored = self.stored.borrow();
         let replacement = stored.as_ref().map(|stored| Rc::clone(&stored.config));
-        let version = |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |held| held.version);
+        let version =
+            |config: Option<&Rc<ForwardConfig>>| config.map_or(0, |config| config.version);
         let previous = self.current.replace(replacement.clone());
         let draft = EventDraft::new("config.disowned")
             .field("version", version(previous.as_ref()))
--- a/crates/guavawell-forward/src/connect.rs
+++ b/crates/guavawell-forward/src/connect.rs
@@ -28,7 +28,7 @@
         return idle;
     }
     let address = router.servers.borrow().get(server)?.address;
-    let limit = router.connect_pace.get().limit(&times.connect);
+    let limit = router.connect_timeout.get().limit(&times.connect);
     let limit = limit.min(router.clock.left(call.deadline));
     metrics::counter!("guavawell_forward_connections_total").increment(1);
     let began = router.clock.now();
@@ -46,16 +46,16 @@
 
 /// Records how long a connection took to open, or that it timed out.
 fn note_connect_time(router: &ForwardRouter, error: Option<&ChannelError>, began: ClockTime) {
-    let mut pace = router.connect_pace.get();
+    let mut timeout = router.connect_timeout.get();
     if matches!(error, Some(ChannelError::TimedOut)) {
-        pace.timed_out();
+        timeout.timed_out();
         router.note_connect_time(None);
     } else {
         let took = router.clock.now().since(began);
-        pace.answered(took);
+        timeout.answered(took);
         router.note_connect_time(Some(took));
     }
-    router.connect_pace.set(pace);
+    router.connect_timeout.set(timeout);
 }
 
 fn note_connect_failure(router: &ForwardRouter, server: &ServerIncarnation, error: &ChannelError) {
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -71,7 +71,7 @@
     /// The organisation that sent the request.
     pub organisation: OrganisationTag,
     /// The suspicion of the request when it was sent.
-    pub began: SuspicionMark,
+    pub suspicion: SuspicionMark,
 }
 
 /// Checks whether servers have crashed. All requests that one crash breaks off
@@ -192,7 +192,7 @@
 /// Whether a server that just broke off a response has crashed. A leaving
 /// server is never treated as crashed.
 async fn has_crashed(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
-    let listed = router.servers.borrow().get(server).map(|held| held.phase);
+    let listed = router.servers.borrow().get(server).map(|entry| entry.phase);
     if listed == Some(ServerPhase::Leaving) {
         return false;
     }
@@ -219,7 +219,12 @@
 }
 
 async fn probe_server(router: &ForwardRouter, server: &ServerIncarnation) -> bool {
-    let Some(address) = router.servers.borrow().get(server).map(|held| held.address) else {
+    let Some(address) = router
+        .servers
+        .borrow()
+        .get(server)
+        .map(|entry| entry.address)
+    else {
         return false;
     };
     metrics::counter!("guavawell_forward_connections_total").increment(1);
@@ -261,7 +266,7 @@
                 .servers
                 .borrow()
                 .get(&server)
-                .map(|held| held.address);
+                .map(|entry| entry.address);
             let Some(address) = address else {
                 continue;
             };
--- a/crates/guavawell-forward/src/http/head.rs
+++ b/crates/guavawell-forward/src/http/head.rs
@@ -59,7 +59,7 @@
 
     /// The values of a field, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let same = move |(held, _): &(&str, &[u8])| held.eq_ignore_ascii_case(name);
+        let same = move |(field, _): &(&str, &[u8])| field.eq_ignore_ascii_case(name);
         self.iter().filter(same).map(|(_, value)| value)
     }
 
@@ -76,19 +76,19 @@
         self.all(name)
             .filter_map(|value| std::str::from_utf8(value).ok())
             .flat_map(|value| value.split(','))
-            .any(|held| held.trim().eq_ignore_ascii_case(token))
+            .any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 
     /// Copies `bytes` and the positions of the parsed fields, which are slices of it.
     fn capture(bytes: &[u8], parsed: &[httparse::Header<'_>]) -> Self {
         let base = bytes.as_ptr() as usize;
-        let place = |part: &[u8]| {
+        let range_of = |part: &[u8]| {
             let start = (part.as_ptr() as usize).saturating_sub(base);
             start..start + part.len()
         };
         let fields = parsed.iter().map(|field| FieldSpan {
-            name: place(field.name.as_bytes()),
-            value: place(field.value),
+            name: range_of(field.name.as_bytes()),
+            value: range_of(field.value),
         });
         Self {
             fields: fields.collect(),
@@ -111,7 +111,8 @@
         "transfer-encoding",
         "upgrade",
     ];
-    NAMES.iter().any(|held| name.eq_ignore_ascii_case(held)) || fields.has_token("connection", name)
+    NAMES.iter().any(|listed| name.eq_ignore_ascii_case(listed))
+        || fields.has_token("connection", name)
 }
 
 /// The head of a request.
@@ -270,7 +271,7 @@
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).ok().filter(|_| digits);
         let number: Option<u64> = text.and_then(|text| text.parse().ok());
-        if number.is_none() || length.is_some_and(|held| Some(held) != number) {
+        if number.is_none() || length.is_some_and(|previous| Some(previous) != number) {
             return Err(malformed);
         }
         length = number;
--- a/crates/guavawell-forward/src/in_flight.rs
+++ b/crates/guavawell-forward/src/in_flight.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records that the server has processed the prompt.
-    pub fn prompt_read(&self) {
+    pub fn note_prompt_processed(&self) {
         let prefill_tokens = self.prefill_tokens.replace(0);
         self.change(|server| {
             server.load.prefill_tokens = server.load.prefill_tokens.saturating_sub(prefill_tokens);
@@ -117,7 +117,7 @@
             let index = server
                 .suspects
                 .iter()
-                .position(|held| Some(*held) == self.suspect);
+                .position(|suspect| Some(*suspect) == self.suspect);
             index.map(|index| server.suspects.swap_remove(index));
         });
     }
--- a/crates/guavawell-forward/src/peer/message.rs
+++ b/crates/guavawell-forward/src/peer/message.rs
@@ -78,9 +78,12 @@
                 let (needed, wanted) = (loan.needed, loan.wanted);
                 format!("/{LOAN_PATH}/{scope}/{organisation}/{needed}/{wanted}")
             }
-            Self::Return(account) => format!(
+            Self::Return(loan_return) => format!(
                 "/{RETURN_PATH}/{}/{}/{}/{}",
-                account.organisation, account.lender.nonce, account.unspent, account.spent
+                loan_return.organisation,
+                loan_return.lender.nonce,
+                loan_return.unspent,
+                loan_return.spent
             ),
             Self::Suspects(_) => format!("/{SUSPECTS_PATH}"),
             Self::Config(known) => format!("/{CONFIG_PATH}/{known}"),
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -118,7 +118,7 @@
 
     /// Checks a new request: returns how long it is refused, or `None` if it may be
     /// sent. While the verdict is undecided, waits for it up to `max_wait`.
-    pub async fn judge(
+    pub async fn await_verdict(
         &self,
         fingerprint: RequestFingerprint,
         max_wait: ClockSpan,
@@ -150,7 +150,7 @@
         let now = self.clock.now();
         let mut table = self.table.borrow_mut();
         let server = ServerTag::of(&attempt.server);
-        let change = table.crashed(fingerprint, organisation, attempt.began, server, now);
+        let change = table.crashed(fingerprint, organisation, attempt.suspicion, server, now);
         drop(table);
         if let Some(change) = change {
             self.record_change(change, &format_args!("crash of {}", attempt.server));
@@ -229,7 +229,7 @@
 
     /// Whether all rows were read once.
     #[must_use]
-    pub fn is_read(&self) -> bool {
+    pub fn has_loaded_rows(&self) -> bool {
         self.rows_loaded.get()
     }
 
--- a/crates/guavawell-forward/src/poison/publish.rs
+++ b/crates/guavawell-forward/src/poison/publish.rs
@@ -46,7 +46,7 @@
     /// Waits until a write of the row is due. The row may hold suspicions of an
     /// earlier process of this instance, so it must be read before it is overwritten.
     async fn wait_due(&self) {
-        let due = || self.write_due_at.get().filter(|_| self.is_read());
+        let due = || self.write_due_at.get().filter(|_| self.has_loaded_rows());
         wait_due(&self.clock, &self.row_wakeup, due).await;
     }
 
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -73,7 +73,7 @@
     let deadline = request_deadline(router, &route, request)?;
     let left = router.clock.left(deadline);
     let max_wait = ClockSpan::from_millis(left.as_millis() / WAIT_DIVISOR);
-    if let Some(span) = router.poison.judge(fingerprint, max_wait).await {
+    if let Some(span) = router.poison.await_verdict(fingerprint, max_wait).await {
         return Err(RefusalResponse::new(ForwardRefusal::CrashesServers).after(span));
     }
     if !router.can_finish(deadline) {
@@ -136,7 +136,7 @@
     }
     let max_wait = wait_limit(router, request, MAX_OVERDUE_WAIT)?;
     let until = router.clock.now() + max_wait;
-    router.configs.await_check(max_wait).await;
+    router.configs.await_answer(max_wait).await;
     router.await_servers(router.clock.left(until)).await;
     Ok(())
 }
--- a/crates/guavawell-forward/src/record.rs
+++ b/crates/guavawell-forward/src/record.rs
@@ -56,8 +56,8 @@
     pub fn note(&self, name: &'static str, value: impl Display) {
         let value = value.to_string().into();
         let fields = &mut self.state.borrow_mut().fields;
-        match fields.iter_mut().find(|(held, _)| *held == name) {
-            Some((_, held)) => *held = value,
+        match fields.iter_mut().find(|(field, _)| *field == name) {
+            Some((_, current)) => *current = value,
             None => fields.push((name, value)),
         }
     }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -181,7 +181,7 @@
                 writer.write_head(&response);
                 stream.begun = true;
                 stream.first_at = Some(router.clock.now());
-                response.guard.prompt_read();
+                response.guard.note_prompt_processed();
             }
             writer.write_content(&buffered[..ready]);
             buffered.drain(..ready);
@@ -246,9 +246,9 @@
     let Some(reservation) = &call.reservation else {
         return;
     };
-    let each = call.engine.map_or(1, |engine| engine.event_tokens);
+    let tokens_per_event = call.engine.map_or(1, |engine| engine.event_tokens);
     let output = events
-        .saturating_mul(each)
+        .saturating_mul(tokens_per_event)
         .min(call.usage.output_limit.get());
     let spent = call.usage.input.saturating_add(TokenCount::new(output));
     reservation.spend(spent);
--- a/crates/guavawell-forward/src/request.rs
+++ b/crates/guavawell-forward/src/request.rs
@@ -75,6 +75,6 @@
         "content-length",
         "expect",
     ];
-    let same = |held: &&str| name.eq_ignore_ascii_case(held);
+    let same = |other: &&str| name.eq_ignore_ascii_case(other);
     own.iter().any(same) || names.reserved.iter().any(same)
 }
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -47,7 +47,7 @@
 const RETRY_FULL: ClockSpan = ClockSpan::from_millis(600);
 /// Random addition to Retry-After, so that callers do not all retry at the same
 /// time.
-const RETRY_SPREAD_MS: u64 = 400;
+const RETRY_JITTER_MS: u64 = 400;
 
 /// The state of a request across its attempts.
 #[derive(Debug, Default)]
@@ -180,7 +180,7 @@
         return Err(ForwardRefusal::TooLate);
     }
     let suspect = router.poison.suspect(call.fingerprint);
-    let ask = ChoiceRequest {
+    let request = ChoiceRequest {
         service: &call.service,
         engine: call.engine,
         zone: &router.settings.zone,
@@ -192,7 +192,8 @@
     };
     let now = router.clock.now();
     let servers = router.servers.borrow();
-    choose_server(&servers, &ask, now, &router.settings.choice).map_err(|refusal| match refusal {
+    choose_server(&servers, &request, now, &router.settings.choice).map_err(|refusal| match refusal
+    {
         ChoiceError::Unknown => ForwardRefusal::NoServer,
         ChoiceError::Full => ForwardRefusal::ServersFull,
         ChoiceError::Paused => ForwardRefusal::ServersPaused,
@@ -218,7 +219,7 @@
     }
     progress.sent < call.route.attempts
         && router.poison.may_retry(call.fingerprint)
-        && router.take_repeat(&call.service)
+        && router.take_retry(&call.service)
 }
 
 /// Updates the suspicion of the request: clears it after a complete response,
@@ -264,9 +265,9 @@
     draft.request = call.id.parse().ok();
     if let Some(server) = router.servers.borrow().get(&pick.server) {
         let now = router.clock.now();
-        let heard = now.since(server.health.last_received_at).as_millis();
+        let silence_ms = now.since(server.health.last_received_at).as_millis();
         draft = draft
-            .field("heard_ms_ago", heard)
+            .field("heard_ms_ago", silence_ms)
             .field("in_flight", server.load.in_flight);
     }
     router.log.emit(draft);
@@ -289,7 +290,7 @@
         record.truncated();
         return false;
     }
-    let spread = ClockSpan::from_millis(fastrand::u64(..RETRY_SPREAD_MS));
+    let jitter = ClockSpan::from_millis(fastrand::u64(..RETRY_JITTER_MS));
     let now = router.clock.now();
     let resumes = router.servers.borrow().resumes_in(&call.service, now);
     let base = match refusal {
@@ -299,7 +300,7 @@
         _ => None,
     };
     let base = base.unwrap_or(RETRY_NO_SERVER);
-    let after = ClockSpan::from_millis(base.as_millis() + spread.as_millis());
+    let after = ClockSpan::from_millis(base.as_millis() + jitter.as_millis());
     let response = RefusalResponse {
         refusal,
         may_have_run: progress.outcome.may_have_run,
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -74,9 +74,9 @@
     /// not make the process unready.
     budgets_opened: Cell<bool>,
     /// The budget for retries.
-    pub repeats: RefCell<RetryAllowance>,
+    pub retry_allowance: RefCell<RetryAllowance>,
     /// Recent connection times, from which the connect timeout is derived.
-    pub connect_pace: Cell<ConnectTimeout>,
+    pub connect_timeout: Cell<ConnectTimeout>,
     /// Detects from connection times whether this instance's network link is
     /// full.
     link_congestion: Cell<LinkCongestion>,
@@ -122,8 +122,8 @@
             server_age: Cell::default(),
             servers_answered: Event::new(),
             budgets_opened: Cell::new(false),
-            repeats: RefCell::default(),
-            connect_pace: Cell::default(),
+            retry_allowance: RefCell::default(),
+            connect_timeout: Cell::default(),
             link_congestion: Cell::new(LinkCongestion::new(settings.congestion)),
             pool: RefCell::default(),
             settings,
@@ -139,9 +139,9 @@
     }
 
     /// Handles the store's answer to a query for the configuration that was
-    /// sent at `asked`.
-    pub fn config_received(&self, fetched: FetchedConfig<'_>, asked: ClockTime) {
-        let Some(config) = self.configs.store_answered(fetched, asked) else {
+    /// sent at `sent_at`.
+    pub fn config_received(&self, fetched: FetchedConfig<'_>, sent_at: ClockTime) {
+        let Some(config) = self.configs.store_answered(fetched, sent_at) else {
             return;
         };
         self.apply_paid_amounts(&config);
@@ -169,12 +169,12 @@
         let incarnation = entry.incarnation.clone();
         let phase = entry.phase;
         let mut servers = self.servers.borrow_mut();
-        let before = servers.get(&incarnation).map(|held| held.phase);
-        let former = servers.upsert(entry);
-        let after = servers.get(&incarnation).map(|held| held.phase);
+        let before = servers.get(&incarnation).map(|entry| entry.phase);
+        let previous = servers.upsert(entry);
+        let after = servers.get(&incarnation).map(|entry| entry.phase);
         drop(servers);
-        if let Some(former) = former {
-            self.drop_former_life(&former, &incarnation);
+        if let Some(previous) = previous {
+            self.drop_previous_process(&previous, &incarnation);
         }
         if before != after {
             self.log_server("server.listed", &incarnation, phase);
@@ -183,12 +183,12 @@
 
     /// Drops the connections to a server's previous process and wakes the
     /// requests that wait for its responses.
-    fn drop_former_life(&self, former: &ServerIncarnation, incarnation: &ServerIncarnation) {
-        self.pool.borrow_mut().drop_connections(former);
+    fn drop_previous_process(&self, previous: &ServerIncarnation, incarnation: &ServerIncarnation) {
+        self.pool.borrow_mut().drop_connections(previous);
         self.restart_event.notify(usize::MAX);
         let draft = EventDraft::new("server.reborn")
             .field("life", incarnation)
-            .field("before", former);
+            .field("before", previous);
         self.log.emit(draft);
     }
 
@@ -199,7 +199,7 @@
         let now = self.clock.now();
         let servers = self.servers.borrow();
         let entry = servers.get(incarnation);
-        entry.is_some_and(|held| held.takes_requests(now) && !held.is_paused(now))
+        entry.is_some_and(|entry| entry.takes_requests(now) && !entry.is_paused(now))
     }
 
     /// Removes a server that the platform no longer lists.
@@ -252,28 +252,28 @@
         self.state_loaded.notify(usize::MAX);
     }
 
-    /// Records that a query for the list of servers, sent at `asked`, was
+    /// Records that a query for the list of servers, sent at `sent_at`, was
     /// answered.
-    pub fn servers_checked(&self, asked: ClockTime) {
+    pub fn servers_checked(&self, sent_at: ClockTime) {
         let mut age = self.server_age.get();
-        age.check(asked);
+        age.check(sent_at);
         self.server_age.set(age);
         self.servers_answered.notify(usize::MAX);
     }
 
-    /// Records that a query for the list of servers, sent at `asked`, was not
+    /// Records that a query for the list of servers, sent at `sent_at`, was not
     /// answered in time.
-    pub fn servers_unanswered(&self, asked: ClockTime) {
+    pub fn servers_unanswered(&self, sent_at: ClockTime) {
         let mut age = self.server_age.get();
         let poll_timeout = self.settings.times.servers.poll_timeout();
-        age.unanswered(asked, poll_timeout, self.clock.boot_now());
+        age.unanswered(sent_at, poll_timeout, self.clock.boot_now());
         self.server_age.set(age);
     }
 
     /// The age from which the list of servers is overdue.
     fn servers_overdue_after(&self) -> ClockSpan {
-        let pace = self.settings.times.servers;
-        pace.overdue_after(self.budgets.instances())
+        let timing = self.settings.times.servers;
+        timing.overdue_after(self.budgets.instances())
     }
 
     /// Whether the list of servers is overdue.
@@ -354,7 +354,7 @@
     /// were read.
     #[must_use]
     pub fn has_initial_state(&self) -> bool {
-        self.configs.current().is_some() && self.servers_read.get() && self.poison.is_read()
+        self.configs.current().is_some() && self.servers_read.get() && self.poison.has_loaded_rows()
     }
 
     /// Waits until [`has_initial_state`](Self::has_initial_state) is true.
@@ -406,30 +406,32 @@
             RouterPhase::Closing(_) => return false,
         };
         let announced = self.clock.now().since(began) <= self.settings.times.announce;
-        announced || self.abort_at().is_none_or(|cut| deadline <= cut)
+        announced || self.abort_at().is_none_or(|abort_at| deadline <= abort_at)
     }
 
     /// Counts a request in the retry budget, once for all its attempts.
     pub fn count_request(&self, service: &ServiceId) {
-        let window = self.settings.repeats.window;
+        let window = self.settings.retry_limits.window;
         let now = self.clock.now();
-        self.repeats
+        self.retry_allowance
             .borrow_mut()
             .count_request(service, now, window);
     }
 
     /// Takes one retry from the budget. Returns false if the budget is used up.
     #[must_use]
-    pub fn take_repeat(&self, service: &ServiceId) -> bool {
-        let settings = RetryLimits {
+    pub fn take_retry(&self, service: &ServiceId) -> bool {
+        let limits = RetryLimits {
             instances: self
                 .settings
-                .repeats
+                .retry_limits
                 .instances
                 .max(self.budgets.instances()),
-            ..self.settings.repeats
+            ..self.settings.retry_limits
         };
         let now = self.clock.now();
-        self.repeats.borrow_mut().take(service, now, &settings)
+        self.retry_allowance
+            .borrow_mut()
+            .take(service, now, &limits)
     }
 }
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -20,7 +20,7 @@
 /// A server updates its entry about once a second. The pause avoids one call
 /// for each update. A leaving server keeps serving for three seconds, so that
 /// two queries in a row may fail.
-const SERVER_PACE: PollTiming = PollTiming {
+const SERVER_TIMING: PollTiming = PollTiming {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
     pause_per_instance: ClockSpan::from_millis(4),
@@ -81,7 +81,7 @@
             attempt: ClockSpan::from_millis(250),
             stream_silence: ClockSpan::from_millis(1_200),
             config: PollTiming::within(ClockSpan::from_millis(2_000)),
-            servers: SERVER_PACE,
+            servers: SERVER_TIMING,
             lapse: LapseSettings::default(),
             announce: ClockSpan::from_millis(2_900),
             grace: ClockSpan::from_millis(7_500),
@@ -110,9 +110,9 @@
     /// When this instance's network link counts as full.
     pub congestion: CongestionSettings,
     /// The retry budget.
-    pub repeats: RetryLimits,
+    pub retry_limits: RetryLimits,
     /// Settings of budgets.
-    pub book: LedgerSettings,
+    pub ledger: LedgerSettings,
     /// Settings for requests that crash servers.
     pub poison: PoisonSettings,
 }
--- a/crates/guavawell-forward/tests/http.rs
+++ b/crates/guavawell-forward/tests/http.rs
@@ -10,11 +10,11 @@
 fn decode_in_parts(framing: BodyFraming, bytes: &[u8], cut: usize) -> Option<Vec<u8>> {
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    let mut held: Vec<u8> = Vec::new();
+    let mut buffered: Vec<u8> = Vec::new();
     for part in [&bytes[..cut], &bytes[cut..]] {
-        held.extend_from_slice(part);
-        let taken = decoder.decode(&held, &mut body).ok()?;
-        held.drain(..taken);
+        buffered.extend_from_slice(part);
+        let consumed = decoder.decode(&buffered, &mut body).ok()?;
+        buffered.drain(..consumed);
     }
     decoder.is_done().then_some(body)
 }
@@ -92,8 +92,8 @@
     for _ in 0..20_000 {
         let mut bytes = good.to_vec();
         for _ in 0..random.usize(1..4) {
-            let place = random.usize(..bytes.len());
-            bytes[place] = random.u8(..);
+            let index = random.usize(..bytes.len());
+            bytes[index] = random.u8(..);
         }
         let _ = RequestHead::parse(&bytes);
         let _ = ResponseHead::parse(&bytes, false);
@@ -113,9 +113,9 @@
             .collect();
         let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
         let mut body = Vec::new();
-        if let Ok(taken) = decoder.decode(&bytes, &mut body) {
-            assert!(taken <= bytes.len());
-            assert!(body.len() <= taken);
+        if let Ok(consumed) = decoder.decode(&bytes, &mut body) {
+            assert!(consumed <= bytes.len());
+            assert!(body.len() <= consumed);
         }
     }
 }
--- a/crates/guavawell-forward/tests/start.rs
+++ b/crates/guavawell-forward/tests/start.rs
@@ -62,7 +62,7 @@
     let instance: InstanceId = "r1".parse().expect("a valid id");
     let clock = SteadyClock::start();
     let log = EventLog::off(instance.clone(), IncarnationId::new(1));
-    let book = LedgerSettings::default();
+    let ledger = LedgerSettings::default();
     let store = silent_store();
     let member = FleetMember {
         instance: instance.clone(),
@@ -75,7 +75,7 @@
         log.clone(),
         silent_store(),
     ));
-    let own = Rc::clone(&poison);
+    let shared_poison = Rc::clone(&poison);
     let decode = Box::new(|_: &[u8]| Ok(config()));
     let configs = Rc::new(ConfigTracker::new(
         TimeSettings::default().config,
@@ -89,7 +89,15 @@
         None,
         Rc::clone(&configs),
     ));
-    let desk = BudgetManager::new(member, book, clock, log.clone(), store, own, peers);
+    let manager = BudgetManager::new(
+        member,
+        ledger,
+        clock,
+        log.clone(),
+        store,
+        shared_poison,
+        peers,
+    );
     let settings = ForwardSettings {
         instance,
         zone: "z1".parse().expect("a valid id"),
@@ -99,11 +107,11 @@
         choice: ChoiceSettings::default(),
         admission: AdmissionSettings::default(),
         congestion: CongestionSettings::default(),
-        repeats: RetryLimits::default(),
-        book,
+        retry_limits: RetryLimits::default(),
+        ledger,
         poison: PoisonSettings::default(),
     };
-    ForwardRouter::new(settings, clock, log, configs, Rc::new(desk), poison)
+    ForwardRouter::new(settings, clock, log, configs, Rc::new(manager), poison)
 }
 
 fn config() -> ForwardConfig {
@@ -123,8 +131,8 @@
     block_on(async {
         let mut first = Box::pin(router.wait_for_initial_state());
         assert!(poll_once(&mut first).await.is_none());
-        let told = FetchedConfig::Row(b"the first", 1);
-        router.config_received(told, router.clock.boot_now());
+        let fetched = FetchedConfig::Row(b"the first", 1);
+        router.config_received(fetched, router.clock.boot_now());
         assert!(
             poll_once(&mut first).await.is_none(),
             "the list of servers has not been read"
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -45,8 +45,8 @@
             Ok(1)
         });
         assert_eq!(tries.first_answer(late, NONE).await, None);
-        let told = tries.first_answer(failed(), NEVER).await;
-        assert_eq!(told, Some(Err("failed")));
+        let result = tries.first_answer(failed(), NEVER).await;
+        assert_eq!(result, Some(Err("failed")));
         assert_eq!(tries.first_answer(silent(), NEVER).await, Some(Ok(1)));
     });
 }
@@ -72,8 +72,8 @@
 fn a_failure_without_other_open_tries_is_returned_at_once() {
     smol::block_on(async {
         let mut tries = HedgedTries::new(3);
-        let told = tries.first_answer(failed(), NEVER).await;
-        assert_eq!(told, Some(Err("failed")));
+        let result = tries.first_answer(failed(), NEVER).await;
+        assert_eq!(result, Some(Err("failed")));
     });
 }
 
