--- a/crates/guavawell-forward/src/accept.rs
+++ b/crates/guavawell-forward/src/accept.rs
@@ -14,8 +14,8 @@
 
 use crate::http::HttpChannel;
 
-/// Length of the queue of connections that wait to be accepted. If the queue is
-/// full, TCP repeats the opening packet only after a second.
+/// Length of the queue of connections that wait to be accepted. If it is full, the
+/// kernel drops the SYN, and the caller's TCP retransmits it only after a second.
 const ACCEPT_QUEUE: i32 = 1_024;
 /// Pause after a failed accept, for example when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/guavawell-forward/src/budget/borrow.rs
+++ b/crates/guavawell-forward/src/budget/borrow.rs
@@ -26,13 +26,13 @@
 /// Timeout of a loan or return: a few milliseconds on the network and, at an
 /// instance with a tenth of a core, some tens of milliseconds in its queue.
 const LOAN_TIMEOUT: Duration = Duration::from_millis(150);
-/// Instances that a holder asks for a loan, for one request.
+/// Largest number of instances that a holder asks for a loan, for one request.
 const MAX_LENDERS: usize = 4;
-/// Largest number of these that are chosen because their spending limits unlock
+/// Largest number of these that are chosen because their spending limits release
 /// tokens early; see `GrantLedger::early_lenders`.
 const MAX_EARLY_LENDERS: usize = 2;
-/// Holders that another instance asks for one request: when a budget is nearly
-/// used up, the remaining tokens may be in any zone.
+/// Largest number of holders that a non-holder asks for a loan, for one request: when
+/// a budget is nearly used up, the remaining tokens may be in any zone.
 const MAX_HOLDERS: usize = 8;
 /// Interval between checks for loan returns that are due.
 const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
@@ -179,11 +179,11 @@
     }
 
     /// Chooses the instances that a holder asks: first those whose spending limits
-    /// unlock tokens early, then others at random, weighted by the tokens they have
-    /// free. If all asked the one with the most, it would soon run out.
+    /// release tokens early, then others at random, weighted by their free tokens. If
+    /// all borrowers asked the instance with the most, it would soon run out.
     ///
-    /// While the store is out of reach, the rest are any other instances: one that
-    /// reaches the store can fetch tokens and lend them.
+    /// While this instance cannot reach the store, the list is filled up with random
+    /// ones: one that reaches the store can fetch tokens and lend them.
     fn choose_lenders(
         &self,
         organisation: &OrganisationId,
--- a/crates/guavawell-forward/src/budget/calls.rs
+++ b/crates/guavawell-forward/src/budget/calls.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Reads a row, and records the response time or the fault.
+    /// Reads a row, and records the response time or the fault. `call` names the call
+    /// in events.
     pub(super) async fn read_row(&self, call: &str, key: RowKey) -> Option<RowState> {
         let started = self.clock.now();
         let answer = (self.store.read)(key).await;
@@ -60,7 +61,7 @@
     }
 
     /// Writes a row if it still has `version`, and records the response time or the
-    /// fault.
+    /// fault. `call` names the call in events.
     pub(super) async fn write_row(
         &self,
         call: &str,
--- a/crates/guavawell-forward/src/budget/lend.rs
+++ b/crates/guavawell-forward/src/budget/lend.rs
@@ -29,7 +29,7 @@
 
 /// How long a lender waits for the store: a pending write of the same row and two
 /// more responses. Shorter than the borrower's timeout by the time that the answer
-/// takes: tokens lent in an answer that arrives too late stay spent.
+/// takes: tokens lent in an answer that arrives too late count as spent.
 const MAX_LEND_WAIT: ClockSpan = ClockSpan::from_millis(100);
 /// Time after which a connection without a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -99,7 +99,7 @@
 
     /// Ends the connection without a loan, because the borrower no longer waits for
     /// the answer: it timed out, for example while this process was suspended. Tokens
-    /// lent to it would stay spent.
+    /// lent to it would count as spent.
     fn decline_departed(
         &self,
         organisation: &OrganisationId,
--- a/crates/guavawell-forward/src/budget/mod.rs
+++ b/crates/guavawell-forward/src/budget/mod.rs
@@ -45,9 +45,9 @@
 pub use reserve::BudgetRefusal;
 pub use reserve::TokenReservation;
 
-/// Table of the spending limits: one row an instance.
+/// Table of the spending limits: one row per instance.
 const LIMIT_TABLE: &str = "guavawell_lines";
-/// Table of the organisations' budgets: one row an organisation.
+/// Table of the organisations' budgets: one row per organisation.
 const BUDGET_TABLE: &str = "guavawell_budgets";
 /// Table of the running instances; all its rows are in [`PEER_PART`].
 const PEER_TABLE: &str = "guavawell_instances";
--- a/crates/guavawell-forward/src/budget/reserve.rs
+++ b/crates/guavawell-forward/src/budget/reserve.rs
@@ -24,8 +24,9 @@
 /// time. It must cover a write of the grant, one of the spending limits, and a
 /// retry after a conflict.
 const STORE_WAIT_LATENCIES: u64 = 4;
-/// Longest wait for the spending limit to unlock a request's tokens by the passing of
-/// time, which needs no store: about half of the expected time to the first token.
+/// Longest wait until the spending limit has risen far enough for a request, which it
+/// does with time and without a call to the store: about half of the expected time to
+/// the first token.
 const MAX_LOCK_WAIT: ClockSpan = ClockSpan::from_millis(250);
 /// Time that a request waits for tokens that another instance holds: one poll by
 /// that instance and three responses of the store.
@@ -357,8 +358,8 @@
     }
 }
 
-/// The longest total wait for the spending limit, since other requests may take the
-/// tokens that it unlocks first.
+/// The longest total wait for the spending limit to rise. One wait may not be enough,
+/// since other requests may take the released tokens first.
 fn lock_wait(store_wait: ClockSpan) -> ClockSpan {
     store_wait.max(MAX_LOCK_WAIT)
 }
--- a/crates/guavawell-forward/src/budget/suspects.rs
+++ b/crates/guavawell-forward/src/budget/suspects.rs
@@ -15,8 +15,8 @@
 /// suspicions from the store.
 const BROADCAST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Number of other instances below which every crash is broadcast. In a larger
-/// fleet each server crash would cause a thousand messages, and first crashes
-/// spread as fast through the store.
+/// fleet one server crash would cause a thousand messages, and a request's first
+/// crash becomes known through the store as fast.
 const SMALL_FLEET_PEERS: usize = 16;
 /// Consecutive crashes from which a suspicion is broadcast in any fleet.
 const URGENT_CRASHES: u8 = 2;
--- a/crates/guavawell-forward/src/config/mod.rs
+++ b/crates/guavawell-forward/src/config/mod.rs
@@ -319,7 +319,8 @@
         }
     }
 
-    /// Carries out the decision that follows from an answer of the store.
+    /// Carries out the action that an answer of the store requires, and wakes the
+    /// requests that wait for the answer.
     fn apply_action(
         &self,
         action: ConfigAction,
@@ -366,6 +367,6 @@
 
 impl fmt::Debug for ConfigTracker {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("ConfigDesk")
+        formatter.write_str("ConfigTracker")
     }
 }
--- a/crates/guavawell-forward/src/config/peer_query.rs
+++ b/crates/guavawell-forward/src/config/peer_query.rs
@@ -1,6 +1,6 @@
 //! Fetches the configuration from other instances while the store does not answer.
 //!
-//! Load pattern: one or some instances lose the connection to the store while
+//! Load pattern: one or more instances lose the connection to the store while
 //! callers still reach them. Instances that reach the store know every change
 //! within milliseconds. If no instance reaches the store, each queries a few others
 //! at growing intervals.
@@ -20,7 +20,7 @@
 use crate::peer::PeerError;
 use crate::router::ForwardRouter;
 
-/// Instances that are queried in a round.
+/// Largest number of instances that are queried in one round.
 const PEERS_PER_ROUND: usize = 3;
 /// Time after which the next instance is queried as well if none has answered.
 const HEDGE_DELAY: Duration = Duration::from_millis(150);
--- a/crates/guavawell-forward/src/crash.rs
+++ b/crates/guavawell-forward/src/crash.rs
@@ -70,7 +70,7 @@
     pub fingerprint: RequestFingerprint,
     /// The organisation that sent the request.
     pub organisation: OrganisationTag,
-    /// The suspicion of the request when it was sent.
+    /// The suspicion mark of the request when it was sent.
     pub suspicion: SuspicionMark,
 }
 
--- a/crates/guavawell-forward/src/http/hedge.rs
+++ b/crates/guavawell-forward/src/http/hedge.rs
@@ -16,7 +16,7 @@
 
 use smol::Timer;
 
-/// One try.
+/// One try: a future that resolves to an answer or an error.
 pub type HedgedTry<'a, T, E> = Pin<Box<dyn Future<Output = Result<T, E>> + 'a>>;
 
 /// The open tries of one call, oldest first.
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -76,7 +76,8 @@
 #[derive(Clone, Debug)]
 struct PeerEntry {
     endpoint: PeerEndpoint,
-    /// It is avoided before this time: only configuration queries try it, last.
+    /// Until this time the instance is avoided: only queries for the configuration
+    /// may still be sent to it.
     backoff_until: ClockTime,
     /// Consecutive requests without an answer.
     failures: u32,
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -34,7 +34,7 @@
 use crate::crash::AbandonedAttempt;
 use crate::store::RowStore;
 
-/// Table of the suspicions: one row an instance, all in the part with the empty
+/// Table of the suspicions: one row per instance, all in the part with the empty
 /// name.
 pub const POISON_TABLE: &str = "guavawell_suspects";
 
@@ -239,7 +239,7 @@
         self.table.borrow_mut().sweep(now);
     }
 
-    /// Lists the suspicions for an operator, one line a request.
+    /// Lists the suspicions for an operator, one line per request.
     #[must_use]
     pub fn listing(&self) -> String {
         let now = self.clock.now();
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -239,7 +239,7 @@
         note_budget_refusal(record, worst, &refusal);
         if refusal.facts.paid < paid.get() {
             // The configuration, which may come from another instance, states a
-            // higher paid amount than the store has told this process so far.
+            // higher paid amount than this process has read from the store.
             let after = refusal.answer.retry_after.unwrap_or_default();
             return RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(after);
         }
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -38,7 +38,7 @@
 /// Longest time spent on such attempts: about the time that [`MAX_UNSENT`]
 /// unreachable servers take.
 const MAX_UNSENT_TIME: ClockSpan = ClockSpan::from_millis(1_000);
-/// Least remaining time for another attempt.
+/// Shortest remaining time at which another attempt is started.
 const MIN_ATTEMPT_TIME: ClockSpan = ClockSpan::from_millis(15);
 /// Retry-After if no server is available: about the time until a restarted
 /// server is listed again.
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -38,11 +38,11 @@
 pub enum RouterPhase {
     /// The process accepts requests.
     Serving,
-    /// The process was told to leave at this time. It still accepts requests as
-    /// far as [`ForwardRouter::can_finish`] allows.
+    /// The process began to leave at this time. It still accepts the requests that
+    /// [`ForwardRouter::can_finish`] allows.
     Leaving(ClockTime),
-    /// The process was told to leave at this time. The wait for running
-    /// requests is over, and no new ones are accepted.
+    /// The process began to leave at this time. The wait for running requests is
+    /// over, and no new ones are accepted.
     Closing(ClockTime),
 }
 
@@ -73,7 +73,7 @@
     /// Whether all budgets have been read once. Budgets that are added later do
     /// not make the process unready.
     budgets_opened: Cell<bool>,
-    /// The budget for retries.
+    /// Recent requests and retries of each service, which limit further retries.
     pub retry_allowance: RefCell<RetryAllowance>,
     /// Recent connection times, from which the connect timeout is derived.
     pub connect_timeout: Cell<ConnectTimeout>,
@@ -139,7 +139,7 @@
     }
 
     /// Handles the store's answer to a query for the configuration that was
-    /// sent at `sent_at`.
+    /// sent at `sent_at`, and wakes tasks that wait for a configuration.
     pub fn config_received(&self, fetched: FetchedConfig<'_>, sent_at: ClockTime) {
         let Some(config) = self.configs.store_answered(fetched, sent_at) else {
             return;
@@ -374,7 +374,7 @@
         self.state_loaded.notify(usize::MAX);
     }
 
-    /// Whether the process was told to leave.
+    /// Whether the process is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.phase.get() != RouterPhase::Serving
@@ -409,7 +409,8 @@
         announced || self.abort_at().is_none_or(|abort_at| deadline <= abort_at)
     }
 
-    /// Counts a request in the retry budget, once for all its attempts.
+    /// Counts a request, once for all its attempts: the more requests, the more
+    /// retries are allowed.
     pub fn count_request(&self, service: &ServiceId) {
         let window = self.settings.retry_limits.window;
         let now = self.clock.now();
@@ -418,7 +419,7 @@
             .count_request(service, now, window);
     }
 
-    /// Takes one retry from the budget. Returns false if the budget is used up.
+    /// Counts a retry if one is still allowed for the service; false if none is.
     #[must_use]
     pub fn take_retry(&self, service: &ServiceId) -> bool {
         let limits = RetryLimits {
--- a/crates/guavawell-forward/src/routing.rs
+++ b/crates/guavawell-forward/src/routing.rs
@@ -84,8 +84,8 @@
 }
 
 /// The refusal if the configuration does not contain the route or the key. If
-/// the configuration is overdue, a newer one may contain it, and the caller is
-/// told to retry.
+/// the configuration is overdue, a newer one may contain it, and the refusal asks
+/// the caller to retry.
 fn unknown_refusal(router: &ForwardRouter, refusal: ForwardRefusal) -> RefusalResponse {
     if router.configs.is_overdue() {
         RefusalResponse::new(ForwardRefusal::NoConfig).after(RETRY_NO_CONFIG)
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -17,9 +17,9 @@
 
 use crate::field_names::FieldNames;
 
-/// A server updates its entry about once a second. The pause avoids one call
-/// for each update. A leaving server keeps serving for three seconds, so that
-/// two queries in a row may fail.
+/// How often the list of servers is queried. Each server updates its entry about
+/// once a second, and without a pause each update would cost one call. A leaving
+/// server keeps serving for three seconds, so that two queries in a row may fail.
 const SERVER_TIMING: PollTiming = PollTiming {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
@@ -51,7 +51,7 @@
     /// not be retried. If the server closed the connection at that moment, the
     /// request would be lost.
     pub idle_once: ClockSpan,
-    /// Least time that an attempt at a retryable request gets before another
+    /// Shortest time that an attempt of a retryable request gets before another
     /// server is tried.
     pub attempt: ClockSpan,
     /// Longest silence of a stream that another server can continue.
@@ -109,9 +109,9 @@
     pub admission: AdmissionSettings,
     /// When this instance's network link counts as full.
     pub congestion: CongestionSettings,
-    /// The retry budget.
+    /// Limits on retries.
     pub retry_limits: RetryLimits,
-    /// Settings of budgets.
+    /// Settings of the token budgets.
     pub ledger: LedgerSettings,
     /// Settings for requests that crash servers.
     pub poison: PoisonSettings,
--- a/crates/guavawell-forward/src/store.rs
+++ b/crates/guavawell-forward/src/store.rs
@@ -10,7 +10,7 @@
 /// A future that runs on the process's single thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Names a row. Rows of one part change together.
+/// Names a row. A transaction of the store may touch rows of one part only.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RowKey {
     /// The table.
--- a/crates/guavawell-forward/tests/tries.rs
+++ b/crates/guavawell-forward/tests/tries.rs
@@ -1,4 +1,4 @@
-//! Earlier attempts of a query stay open while later ones are started, so that
+//! Earlier tries of a hedged call stay open while later ones are started, so that
 //! a late answer on a slow link still counts.
 
 use std::time::Duration;
@@ -89,7 +89,7 @@
         };
         assert_eq!(tries.first_answer(slow(1, 10), NONE).await, None);
         assert_eq!(tries.first_answer(silent(), NONE).await, None);
-        // The first attempt was dropped when this one was started.
+        // The first try was dropped when this one was started.
         assert_eq!(tries.first_answer(slow(3, 40), NEVER).await, Some(Ok(3)));
         assert_eq!(
             tries.first_answer(failed(), NEVER).await,
