--- a/crates/guavawell-forward/src/admin.rs
+++ b/crates/guavawell-forward/src/admin.rs
@@ -68,7 +68,7 @@
         let mut bytes = writer.finish();
         bytes.extend_from_slice(body.as_bytes());
         channel.send(&bytes).await?;
-        if !head.keep {
+        if !head.keep_alive {
             return Ok(());
         }
     }
--- a/crates/guavawell-forward/src/budget/fleet_key.rs
+++ b/crates/guavawell-forward/src/budget/fleet_key.rs
@@ -44,7 +44,7 @@
         if state.version > 0 {
             return decode_key(&state);
         }
-        let key = FleetKey::draw();
+        let key = FleetKey::generate();
         let written = self.write_row("key", row_key(), 0, encode(&key)?);
         match written.await.ok()? {
             WriteAnswer::Done(..) => Some(key),
--- a/crates/guavawell-forward/src/callers.rs
+++ b/crates/guavawell-forward/src/callers.rs
@@ -64,8 +64,8 @@
                 return;
             }
         };
-        let keep = serve_request(router, &mut channel, request).await;
-        if !keep {
+        let keep_alive = serve_request(router, &mut channel, request).await;
+        if !keep_alive {
             return;
         }
     }
--- a/crates/guavawell-forward/src/http/head.rs
+++ b/crates/guavawell-forward/src/http/head.rs
@@ -129,7 +129,7 @@
     /// The framing of the body.
     pub framing: BodyFraming,
     /// Whether the caller keeps the connection open.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// Whether the caller accepts a chunked response, which HTTP/1.0 does not have.
     pub accepts_chunked: bool,
 }
@@ -156,7 +156,7 @@
             target: request.path.unwrap_or_default().into(),
             host,
             framing,
-            keep: keeps_alive(&fields, is_http11),
+            keep_alive: keeps_alive(&fields, is_http11),
             accepts_chunked: is_http11,
             fields,
         })
@@ -182,7 +182,7 @@
     /// The framing of the body.
     pub framing: BodyFraming,
     /// Whether the server keeps the connection open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl ResponseHead {
@@ -212,7 +212,7 @@
             status: code,
             reason: response.reason.unwrap_or_default().into(),
             framing,
-            keep: keeps_alive(&fields, is_http11) && framing != BodyFraming::UntilClose,
+            keep_alive: keeps_alive(&fields, is_http11) && framing != BodyFraming::UntilClose,
             fields,
         })
     }
--- a/crates/guavawell-forward/src/peer/channels.rs
+++ b/crates/guavawell-forward/src/peer/channels.rs
@@ -76,7 +76,7 @@
             return Err(PeerError::Unauthenticated(head.status));
         }
         let mut idle = self.idle.borrow_mut();
-        if head.keep && idle.len() < MAX_IDLE_CHANNELS {
+        if head.keep_alive && idle.len() < MAX_IDLE_CHANNELS {
             idle.push((address, channel));
         }
         Ok(PeerResponse { head, body })
--- a/crates/guavawell-forward/src/peer/key.rs
+++ b/crates/guavawell-forward/src/peer/key.rs
@@ -26,13 +26,13 @@
 impl FleetKey {
     /// Creates a random key.
     #[must_use]
-    pub fn draw() -> Self {
+    pub fn generate() -> Self {
         Self(fastrand::u128(1..))
     }
 
     /// The key in hexadecimal, as an operator sends it in a header field.
     #[must_use]
-    pub fn text(self) -> String {
+    pub fn to_hex(self) -> String {
         format!("{:032x}", self.0)
     }
 
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -147,7 +147,7 @@
     #[must_use]
     pub fn matches_key(&self, text: Option<&str>) -> bool {
         let key = self.key.get();
-        key.is_some_and(|key| text == Some(key.text().as_str()))
+        key.is_some_and(|key| text == Some(key.to_hex().as_str()))
     }
 
     /// Replaces the instances by those read from the store. An instance that was
--- a/crates/guavawell-forward/src/pool.rs
+++ b/crates/guavawell-forward/src/pool.rs
@@ -52,13 +52,13 @@
     }
 
     /// Adds a connection after a complete response. It may stay idle for
-    /// `keep`.
+    /// `max_idle`.
     pub fn put(
         &mut self,
         server: &ServerIncarnation,
         channel: HttpChannel,
         now: ClockTime,
-        keep: ClockSpan,
+        max_idle: ClockSpan,
     ) {
         let index = match self.servers.binary_search_by(|(id, _)| id.cmp(server)) {
             Ok(index) => index,
@@ -72,7 +72,7 @@
             idle.push(IdleChannel {
                 channel,
                 since: now,
-                until: now + keep,
+                until: now + max_idle,
             });
         }
     }
--- a/crates/guavawell-forward/src/refusal.rs
+++ b/crates/guavawell-forward/src/refusal.rs
@@ -55,7 +55,7 @@
         &self,
         channel: &HttpChannel,
         request_field: Option<(&str, &str)>,
-        keep: bool,
+        keep_alive: bool,
     ) -> io::Result<()> {
         let status = self.status();
         let body = format!("{{\"error\":\"{}\"}}\n", self.refusal);
@@ -69,7 +69,7 @@
             let seconds = fraction(span.as_millis()) / 1_000.0;
             head.field_of("Retry-After", format_args!("{seconds:.2}"));
         }
-        if !keep {
+        if !keep_alive {
             head.field("Connection", b"close");
         }
         let mut bytes = head.finish();
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -75,10 +75,10 @@
         return AttemptOutcome::Ended(end, server_failure);
     }
     response.finish(router);
-    let keep = call.request.head.keep && !router.is_leaving();
-    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    let keep_alive = call.request.head.keep_alive && !router.is_leaving();
+    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep_alive);
     match caller.send(&bytes).await {
-        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep),
+        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep_alive),
         Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
@@ -134,7 +134,7 @@
     writer.write_content(&body);
     writer.write_end();
     match caller.send(writer.pending()).await {
-        Ok(()) => AttemptOutcome::Delivered(status, writer.keep),
+        Ok(()) => AttemptOutcome::Delivered(status, writer.keep_alive),
         Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
@@ -198,7 +198,7 @@
         writer.clear();
         if !more {
             response.finish(router);
-            return AttemptOutcome::Delivered(200, writer.keep);
+            return AttemptOutcome::Delivered(200, writer.keep_alive);
         }
     }
 }
@@ -258,7 +258,7 @@
 struct ResponseWriter {
     pending: Vec<u8>,
     chunked: bool,
-    keep: bool,
+    keep_alive: bool,
 }
 
 impl ResponseWriter {
@@ -267,7 +267,7 @@
         Self {
             pending: Vec::new(),
             chunked,
-            keep: chunked && call.request.head.keep && !router.is_leaving(),
+            keep_alive: chunked && call.request.head.keep_alive && !router.is_leaving(),
         }
     }
 
@@ -277,7 +277,7 @@
         if self.chunked {
             head.field("Transfer-Encoding", b"chunked");
         }
-        if !self.keep {
+        if !self.keep_alive {
             head.field("Connection", b"close");
         }
         self.pending.extend_from_slice(&head.finish());
--- a/crates/guavawell-forward/src/response.rs
+++ b/crates/guavawell-forward/src/response.rs
@@ -26,7 +26,7 @@
 impl BufferedResponse {
     /// Serializes the response for the caller.
     #[must_use]
-    pub fn bytes(&self, is_head_request: bool, keep: bool) -> Vec<u8> {
+    pub fn bytes(&self, is_head_request: bool, keep_alive: bool) -> Vec<u8> {
         let mut head = HeadWriter::response(self.head.status, &self.head.reason);
         copy_fields(&self.head.fields, &mut head);
         if is_head_request {
@@ -36,7 +36,7 @@
         } else if self.head.status != 204 && self.head.status != 304 {
             head.field_of("Content-Length", self.body.len());
         }
-        if !keep {
+        if !keep_alive {
             head.field("Connection", b"close");
         }
         let mut bytes = head.finish();
@@ -94,11 +94,11 @@
     pub fn finish(self, router: &ForwardRouter) {
         self.guard.note_outcome(false);
         let done = self.decoder.is_done();
-        if self.reusable && done && self.head.keep && self.channel.is_quiet() {
-            let keep = keep_alive_span(&self.head.fields, router.settings.times.idle);
+        if self.reusable && done && self.head.keep_alive && self.channel.is_quiet() {
+            let max_idle = keep_alive_span(&self.head.fields, router.settings.times.idle);
             let now = router.clock.now();
             let mut pool = router.pool.borrow_mut();
-            pool.put(self.guard.server(), self.channel, now, keep);
+            pool.put(self.guard.server(), self.channel, now, max_idle);
         }
     }
 }
--- a/crates/guavawell-forward/src/retry.rs
+++ b/crates/guavawell-forward/src/retry.rs
@@ -96,10 +96,10 @@
         record.note("attempts", progress.sent);
         update_suspicion(router, call, &progress, &pick.server, &outcome).await;
         let (end, response) = match outcome {
-            AttemptOutcome::Delivered(status, keep) => {
+            AttemptOutcome::Delivered(status, keep_alive) => {
                 note_stream(record, &progress.stream);
                 record.answered(status);
-                return keep;
+                return keep_alive;
             }
             AttemptOutcome::CallerDisconnected => return false,
             AttemptOutcome::Truncated => {
@@ -317,9 +317,9 @@
     record: &RequestRecord,
     response: &BufferedResponse,
 ) -> bool {
-    let keep = call.request.head.keep && !router.is_leaving();
+    let keep_alive = call.request.head.keep_alive && !router.is_leaving();
     record.note("cause", "server_failed");
     record.answered(response.head.status);
-    let bytes = response.bytes(call.request.head.method.as_ref() == "HEAD", keep);
-    caller.send(&bytes).await.is_ok() && keep
+    let bytes = response.bytes(call.request.head.method.as_ref() == "HEAD", keep_alive);
+    caller.send(&bytes).await.is_ok() && keep_alive
 }
--- a/crates/guavawell-forward/src/serve.rs
+++ b/crates/guavawell-forward/src/serve.rs
@@ -142,11 +142,11 @@
     record: &RequestRecord,
     response: &RefusalResponse,
 ) -> bool {
-    let keep = request.head.keep && !router.is_leaving();
+    let keep_alive = request.head.keep_alive && !router.is_leaving();
     record.refused(response.refusal, response.status());
     if let Some(span) = response.retry_after {
         record.note("retry_after_ms", span.as_millis());
     }
     let field = (!id.is_empty()).then_some((router.settings.names.request, id));
-    response.send(caller, field, keep).await.is_ok() && keep
+    response.send(caller, field, keep_alive).await.is_ok() && keep_alive
 }
--- a/crates/guavawell-forward/tests/http.rs
+++ b/crates/guavawell-forward/tests/http.rs
@@ -63,7 +63,7 @@
     let head = b"HTTP/1.1 200 OK\r\n\r\n";
     let head = ResponseHead::parse(head, false).expect("a valid head");
     assert_eq!(head.framing, BodyFraming::UntilClose);
-    assert!(!head.keep);
+    assert!(!head.keep_alive);
     let head = ResponseHead::parse(b"HTTP/1.1 204 No\r\n\r\n", false).expect("a valid head");
     assert_eq!(head.framing, BodyFraming::Empty);
 }
