--- a/crates/guavawell-forward/src/peer/channels.rs
+++ b/crates/guavawell-forward/src/peer/channels.rs
@@ -8,9 +8,9 @@
 use super::FleetKey;
 use super::PeerError;
 use super::PeerRequest;
-use super::question::CONFIG_VERSION_FIELD;
-use super::question::MAX_HEAD_BYTES;
-use super::question::NONCE_FIELD;
+use super::message::CONFIG_VERSION_FIELD;
+use super::message::MAX_HEAD_BYTES;
+use super::message::NONCE_FIELD;
 use crate::http::ChannelError;
 use crate::http::HeadWriter;
 use crate::http::HttpChannel;
@@ -76,7 +76,7 @@
             return Err(PeerError::Unauthenticated(head.status));
         }
         let mut idle = self.idle.borrow_mut();
-        if head.keep && idle.len() < MAX_IDLE_CHANNELS {
+        if head.keep_alive && idle.len() < MAX_IDLE_CHANNELS {
             idle.push((address, channel));
         }
         Ok(PeerResponse { head, body })
--- a/crates/guavawell-forward/src/peer/mod.rs
+++ b/crates/guavawell-forward/src/peer/mod.rs
@@ -4,7 +4,7 @@
 
 mod channels;
 mod key;
-mod question;
+mod message;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,8 +21,8 @@
 
 use self::channels::PeerChannels;
 use self::channels::PeerResponse;
-use self::question::read_config;
-use self::question::write_config;
+use self::message::read_config;
+use self::message::write_config;
 use crate::clock::SteadyClock;
 use crate::config::ConfigTracker;
 use crate::config::PeerConfig;
@@ -30,11 +30,11 @@
 use crate::http::HeadWriter;
 
 pub use self::key::FleetKey;
-pub(crate) use self::question::CONFIG_VERSION_FIELD;
-pub(crate) use self::question::PeerRequest;
-pub(crate) use self::question::ReceivedRequest;
-pub(crate) use self::question::read_loan_answer;
-pub(crate) use self::question::write_loan_answer;
+pub(crate) use self::message::CONFIG_VERSION_FIELD;
+pub(crate) use self::message::PeerRequest;
+pub(crate) use self::message::ReceivedRequest;
+pub(crate) use self::message::read_loan_answer;
+pub(crate) use self::message::write_loan_answer;
 
 /// Time for which an instance that did not answer is avoided, since each request to it
 /// would wait for its whole timeout. Doubled with each consecutive failure.
@@ -76,7 +76,8 @@
 #[derive(Clone, Debug)]
 struct PeerEntry {
     endpoint: PeerEndpoint,
-    /// It is avoided before this time: only configuration queries try it, last.
+    /// Until this time the instance is avoided: only queries for the configuration
+    /// may still be sent to it.
     backoff_until: ClockTime,
     /// Consecutive requests without an answer.
     failures: u32,
@@ -146,7 +147,7 @@
     #[must_use]
     pub fn matches_key(&self, text: Option<&str>) -> bool {
         let key = self.key.get();
-        key.is_some_and(|key| text == Some(key.text().as_str()))
+        key.is_some_and(|key| text == Some(key.to_hex().as_str()))
     }
 
     /// Replaces the instances by those read from the store. An instance that was
--- a/crates/guavawell-forward/src/prepare.rs
+++ b/crates/guavawell-forward/src/prepare.rs
@@ -73,7 +73,7 @@
     let deadline = request_deadline(router, &route, request)?;
     let left = router.clock.left(deadline);
     let max_wait = ClockSpan::from_millis(left.as_millis() / WAIT_DIVISOR);
-    if let Some(span) = router.poison.judge(fingerprint, max_wait).await {
+    if let Some(span) = router.poison.await_verdict(fingerprint, max_wait).await {
         return Err(RefusalResponse::new(ForwardRefusal::CrashesServers).after(span));
     }
     if !router.can_finish(deadline) {
@@ -136,7 +136,7 @@
     }
     let max_wait = wait_limit(router, request, MAX_OVERDUE_WAIT)?;
     let until = router.clock.now() + max_wait;
-    router.configs.await_check(max_wait).await;
+    router.configs.await_answer(max_wait).await;
     router.await_servers(router.clock.left(until)).await;
     Ok(())
 }
@@ -239,7 +239,7 @@
         note_budget_refusal(record, worst, &refusal);
         if refusal.facts.paid < paid.get() {
             // The configuration, which may come from another instance, states a
-            // higher paid amount than the store has told this process so far.
+            // higher paid amount than this process has read from the store.
             let after = refusal.answer.retry_after.unwrap_or_default();
             return RefusalResponse::new(ForwardRefusal::BudgetUnavailable).after(after);
         }
--- a/crates/guavawell-forward/src/relay.rs
+++ b/crates/guavawell-forward/src/relay.rs
@@ -75,10 +75,10 @@
         return AttemptOutcome::Ended(end, server_failure);
     }
     response.finish(router);
-    let keep = call.request.head.keep && !router.is_leaving();
-    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep);
+    let keep_alive = call.request.head.keep_alive && !router.is_leaving();
+    let bytes = complete.bytes(call.request.head.method.as_ref() == "HEAD", keep_alive);
     match caller.send(&bytes).await {
-        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep),
+        Ok(()) => AttemptOutcome::Delivered(complete.head.status, keep_alive),
         Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
@@ -134,7 +134,7 @@
     writer.write_content(&body);
     writer.write_end();
     match caller.send(writer.pending()).await {
-        Ok(()) => AttemptOutcome::Delivered(status, writer.keep),
+        Ok(()) => AttemptOutcome::Delivered(status, writer.keep_alive),
         Err(_) => AttemptOutcome::CallerDisconnected,
     }
 }
@@ -181,7 +181,7 @@
                 writer.write_head(&response);
                 stream.begun = true;
                 stream.first_at = Some(router.clock.now());
-                response.guard.prompt_read();
+                response.guard.note_prompt_processed();
             }
             writer.write_content(&buffered[..ready]);
             buffered.drain(..ready);
@@ -198,7 +198,7 @@
         writer.clear();
         if !more {
             response.finish(router);
-            return AttemptOutcome::Delivered(200, writer.keep);
+            return AttemptOutcome::Delivered(200, writer.keep_alive);
         }
     }
 }
@@ -246,9 +246,9 @@
     let Some(reservation) = &call.reservation else {
         return;
     };
-    let each = call.engine.map_or(1, |engine| engine.event_tokens);
+    let tokens_per_event = call.engine.map_or(1, |engine| engine.event_tokens);
     let output = events
-        .saturating_mul(each)
+        .saturating_mul(tokens_per_event)
         .min(call.usage.output_limit.get());
     let spent = call.usage.input.saturating_add(TokenCount::new(output));
     reservation.spend(spent);
@@ -258,7 +258,7 @@
 struct ResponseWriter {
     pending: Vec<u8>,
     chunked: bool,
-    keep: bool,
+    keep_alive: bool,
 }
 
 impl ResponseWriter {
@@ -267,7 +267,7 @@
         Self {
             pending: Vec::new(),
             chunked,
-            keep: chunked && call.request.head.keep && !router.is_leaving(),
+            keep_alive: chunked && call.request.head.keep_alive && !router.is_leaving(),
         }
     }
 
@@ -277,7 +277,7 @@
         if self.chunked {
             head.field("Transfer-Encoding", b"chunked");
         }
-        if !self.keep {
+        if !self.keep_alive {
             head.field("Connection", b"close");
         }
         self.pending.extend_from_slice(&head.finish());
--- a/crates/guavawell-forward/src/settings.rs
+++ b/crates/guavawell-forward/src/settings.rs
@@ -17,10 +17,10 @@
 
 use crate::field_names::FieldNames;
 
-/// A server updates its entry about once a second. The pause avoids one call
-/// for each update. A leaving server keeps serving for three seconds, so that
-/// two queries in a row may fail.
-const SERVER_PACE: PollTiming = PollTiming {
+/// How often the list of servers is queried. Each server updates its entry about
+/// once a second, and without a pause each update would cost one call. A leaving
+/// server keeps serving for three seconds, so that two queries in a row may fail.
+const SERVER_TIMING: PollTiming = PollTiming {
     wait: ClockSpan::from_millis(300),
     pause: ClockSpan::from_millis(300),
     pause_per_instance: ClockSpan::from_millis(4),
@@ -51,7 +51,7 @@
     /// not be retried. If the server closed the connection at that moment, the
     /// request would be lost.
     pub idle_once: ClockSpan,
-    /// Least time that an attempt at a retryable request gets before another
+    /// Shortest time that an attempt of a retryable request gets before another
     /// server is tried.
     pub attempt: ClockSpan,
     /// Longest silence of a stream that another server can continue.
@@ -81,7 +81,7 @@
             attempt: ClockSpan::from_millis(250),
             stream_silence: ClockSpan::from_millis(1_200),
             config: PollTiming::within(ClockSpan::from_millis(2_000)),
-            servers: SERVER_PACE,
+            servers: SERVER_TIMING,
             lapse: LapseSettings::default(),
             announce: ClockSpan::from_millis(2_900),
             grace: ClockSpan::from_millis(7_500),
@@ -109,10 +109,10 @@
     pub admission: AdmissionSettings,
     /// When this instance's network link counts as full.
     pub congestion: CongestionSettings,
-    /// The retry budget.
-    pub repeats: RetryLimits,
-    /// Settings of budgets.
-    pub book: LedgerSettings,
+    /// Limits on retries.
+    pub retry_limits: RetryLimits,
+    /// Settings of the token budgets.
+    pub ledger: LedgerSettings,
     /// Settings for requests that crash servers.
     pub poison: PoisonSettings,
 }
