--- a/crates/guavawell-core/src/budget/row/change.rs
+++ b/crates/guavawell-core/src/budget/row/change.rs
@@ -60,8 +60,8 @@
         let former = self.grant(&change.slot);
         let closes = former.is_some_and(|grant| grant.tenure != change.tenure);
         let mut row = self.clone();
-        let place = row.open_grant(change)?;
-        let grant = &mut row.grants[place];
+        let index = row.open_grant(change)?;
+        let grant = &mut row.grants[index];
         if grant.sequence >= change.sequence {
             return Ok(RowChange::Applied);
         }
@@ -78,50 +78,50 @@
         grant.sequence = change.sequence;
         grant.demand = change.demand;
         row.settled = row.settled.saturating_add(charged);
-        let granted = row.share(change);
+        let granted = row.tokens_to_grant(change);
         if !closes && taken.saturating_add(granted) == TokenCount::ZERO {
             return Ok(RowChange::Applied);
         }
-        row.grants[place].open = row.grants[place].open.saturating_add(granted);
+        row.grants[index].open = row.grants[index].open.saturating_add(granted);
         row.update_paid();
         Ok(RowChange::Write(row))
     }
 
     /// The place of the changing holder's grant, opened or taken over.
     fn open_grant(&mut self, change: &GrantChange) -> Result<usize, RowError> {
-        let place = match self.grant_place(&change.slot) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.grant_index(&change.slot) {
+            Ok(index) => index,
+            Err(index) => {
                 let grant = empty_grant(&change.slot, change.tenure);
-                self.grants.insert(place, grant);
-                return Ok(place);
+                self.grants.insert(index, grant);
+                return Ok(index);
             }
         };
-        let tenure = self.grants[place].tenure;
+        let tenure = self.grants[index].tenure;
         if tenure > change.tenure {
             return Err(RowError::LaterTenure);
         }
         if tenure < change.tenure {
-            self.close_grant(place, change)?;
+            self.close_grant(index, change)?;
         }
-        Ok(place)
+        Ok(index)
     }
 
-    fn close_grant(&mut self, place: usize, change: &GrantChange) -> Result<(), RowError> {
+    fn close_grant(&mut self, index: usize, change: &GrantChange) -> Result<(), RowError> {
         let mut grant = empty_grant(&change.slot, change.tenure);
-        std::mem::swap(&mut grant, &mut self.grants[place]);
+        std::mem::swap(&mut grant, &mut self.grants[index]);
         if grant.tenure < change.former.unknown_before {
             self.freeze(&grant, grant.open, true);
             return Ok(());
         }
-        let open = self.close_known(&grant, &change.former.counters)?;
-        self.grants[place].open = open;
+        let open = self.settle_known_use(&grant, &change.former.counters)?;
+        self.grants[index].open = open;
         Ok(())
     }
 
     /// Settles what the witness knows, freezes the float, and returns what
     /// goes on to the new holder.
-    fn close_known(
+    fn settle_known_use(
         &mut self,
         grant: &BudgetGrant,
         former: &[TenureCounters],
@@ -151,15 +151,15 @@
 
     /// Tokens to grant: the need if it is there, else a share of the rest
     /// that shrinks towards the end and with the slots that draw on it.
-    fn share(&self, change: &GrantChange) -> TokenCount {
+    fn tokens_to_grant(&self, change: &GrantChange) -> TokenCount {
         let unspent = self.unspent();
-        let drawers = self
+        let active_slots = self
             .grants
             .iter()
             .filter(|grant| grant.demand > TokenCount::ZERO)
             .count()
             .max(1);
-        let parts = 2 * u64::try_from(drawers).unwrap_or(u64::MAX / 2);
+        let parts = 2 * u64::try_from(active_slots).unwrap_or(u64::MAX / 2);
         let share = TokenCount::new(unspent.get() / parts);
         change.want.min(share).max(change.need.min(unspent))
     }
--- a/crates/guavawell-core/src/budget/row/frozen.rs
+++ b/crates/guavawell-core/src/budget/row/frozen.rs
@@ -49,10 +49,10 @@
     /// [`RowError::StillRunning`] if its running attempts draw on the frozen
     /// tokens, [`RowError::GrantOverdrawn`] if it spent more than froze.
     pub fn report_frozen(&self, report: &FrozenReport) -> Result<RowChange, RowError> {
-        let Some(place) = self.frozen_place(&report.slot, report.tenure) else {
+        let Some(index) = self.frozen_index(&report.slot, report.tenure) else {
             return self.nothing_frozen(&report.slot, report.tenure);
         };
-        let frozen = &self.frozen[place];
+        let frozen = &self.frozen[index];
         if frozen.whole && report.running > TokenCount::ZERO {
             return Err(RowError::StillRunning);
         }
@@ -66,7 +66,7 @@
         if spent > frozen.tokens {
             return Err(RowError::GrantOverdrawn);
         }
-        Ok(RowChange::Write(self.thaw(place, spent)))
+        Ok(RowChange::Write(self.settle_frozen(index, spent)))
     }
 
     /// Ends frozen tokens by an operator's audited word.
@@ -75,11 +75,11 @@
     ///
     /// [`RowError::NotClosed`] while the grant is still the former holder's.
     pub fn reclaim_frozen(&self, reclaim: &FrozenReclaim) -> Result<RowChange, RowError> {
-        let Some(place) = self.frozen_place(&reclaim.slot, reclaim.tenure) else {
+        let Some(index) = self.frozen_index(&reclaim.slot, reclaim.tenure) else {
             return self.nothing_frozen(&reclaim.slot, reclaim.tenure);
         };
-        let spent = reclaim.spent.unwrap_or(self.frozen[place].tokens);
-        Ok(RowChange::Write(self.thaw(place, spent)))
+        let spent = reclaim.spent.unwrap_or(self.frozen[index].tokens);
+        Ok(RowChange::Write(self.settle_frozen(index, spent)))
     }
 
     pub(super) fn freeze(&mut self, grant: &BudgetGrant, tokens: TokenCount, whole: bool) {
@@ -95,16 +95,16 @@
             float_reported: grant.float_reported,
         };
         let key = |frozen: &FrozenTokens| (frozen.slot.clone(), frozen.tenure);
-        let place = self
+        let index = self
             .frozen
             .partition_point(|other| key(other) < key(&frozen));
-        self.frozen.insert(place, frozen);
+        self.frozen.insert(index, frozen);
     }
 
-    /// Settles `spent` of the frozen tokens at `place`; the rest is unspent.
-    fn thaw(&self, place: usize, spent: TokenCount) -> Self {
+    /// Settles `spent` of the frozen tokens at `index`; the rest is unspent.
+    fn settle_frozen(&self, index: usize, spent: TokenCount) -> Self {
         let mut row = self.clone();
-        let frozen = row.frozen.remove(place);
+        let frozen = row.frozen.remove(index);
         row.settled = row.settled.saturating_add(spent.min(frozen.tokens));
         row.update_paid();
         row
@@ -117,7 +117,7 @@
         }
     }
 
-    fn frozen_place(&self, slot: &SlotId, tenure: SlotEpoch) -> Option<usize> {
+    fn frozen_index(&self, slot: &SlotId, tenure: SlotEpoch) -> Option<usize> {
         self.frozen
             .iter()
             .position(|frozen| frozen.slot == *slot && frozen.tenure == tenure)
--- a/crates/guavawell-core/src/budget/row/mod.rs
+++ b/crates/guavawell-core/src/budget/row/mod.rs
@@ -178,8 +178,8 @@
     /// The grant of a slot.
     #[must_use]
     pub fn grant(&self, slot: &SlotId) -> Option<&BudgetGrant> {
-        let place = self.grant_place(slot).ok()?;
-        Some(&self.grants[place])
+        let index = self.grant_index(slot).ok()?;
+        Some(&self.grants[index])
     }
 
     /// The row as the holder of one slot needs it.
@@ -210,7 +210,7 @@
         self.committed() <= self.paid
     }
 
-    fn grant_place(&self, slot: &SlotId) -> Result<usize, usize> {
+    fn grant_index(&self, slot: &SlotId) -> Result<usize, usize> {
         self.grants.binary_search_by(|grant| grant.slot.cmp(slot))
     }
 }
--- a/crates/guavawell-core/src/budget/row/paid.rs
+++ b/crates/guavawell-core/src/budget/row/paid.rs
@@ -43,14 +43,14 @@
     ///
     /// [`RowError::Overflow`] or [`RowError::TooManyTopUps`].
     pub fn top_up(&self, id: &TopUpId, tokens: TokenCount) -> Result<RowChange, RowError> {
-        let Err(place) = self.top_ups.binary_search(id) else {
+        let Err(index) = self.top_ups.binary_search(id) else {
             return Ok(RowChange::Applied);
         };
         if self.top_ups.len() >= MAX_TOP_UPS {
             return Err(RowError::TooManyTopUps);
         }
         let mut row = self.clone();
-        row.top_ups.insert(place, id.clone());
+        row.top_ups.insert(index, id.clone());
         row.topped_up = row
             .topped_up
             .checked_add(tokens)
