--- a/crates/guavawell-core/src/budget/row/change.rs
+++ b/crates/guavawell-core/src/budget/row/change.rs
@@ -1,5 +1,5 @@
-//! A holder's changes of its own grant: settle, hand back, refill, and the
-//! close of a former tenure.
+//! Changes that a holder makes to its own grant: reporting charges, returning
+//! unused tokens, requesting more, and closing the grant of an earlier tenure.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -13,49 +13,57 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// What former holders did, as their successor knows it.
+/// Use of a budget in earlier tenures, as known to the current holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FormerUse {
-    /// Of tenures before this one nothing is known (holder and witness died
-    /// together): their grants freeze whole.
+    /// Use in tenures before this one is unknown because holder and witness
+    /// were lost together: every open token of their grants is frozen.
     pub unknown_before: SlotEpoch,
-    /// The witness's counters of later tenures, by tenure.
+    /// The counters of the earlier tenures whose use is known, in ascending
+    /// order of tenure.
     pub counters: Vec<TenureCounters>,
 }
 
-/// A holder's change of its own grant. Its writer compares the slot row.
+/// A change that a holder makes to its own grant.
+///
+/// Whoever writes it must check in the same transaction that the slot row still
+/// names the holder's tenure.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantChange {
     /// The slot.
     pub slot: SlotId,
     /// The holder's tenure.
     pub tenure: SlotEpoch,
-    /// The change's number in this tenure, from one.
+    /// The number of the change within this tenure, starting at one.
     pub sequence: u64,
-    /// What former tenures did; used if the grant is still theirs.
+    /// Use in earlier tenures; ignored unless the grant still belongs to one of
+    /// them.
     pub former: FormerUse,
-    /// Witnessed charges of this tenure, in all.
+    /// Sum of all charges to the witnessed part in this tenure.
     pub settled: TokenCount,
-    /// Float charges of this tenure, in all.
+    /// Sum of all charges to the float in this tenure.
     pub float_settled: TokenCount,
-    /// Tokens given back.
+    /// Unused tokens that the holder returns to the budget.
     pub hand_back: TokenCount,
-    /// Tokens without which a waiting request cannot run.
+    /// Tokens that queued requests need in order to run.
     pub need: TokenCount,
-    /// Tokens wanted in stock, `need` included.
+    /// Tokens that the holder would like to receive, including `need`.
     pub want: TokenCount,
-    /// Recent use in tokens a minute.
+    /// Recent use of the budget in this slot, in tokens per minute.
     pub demand: TokenCount,
 }
 
 impl BudgetRow {
-    /// Applies a holder's change: closes a former tenure, settles, takes
-    /// back, grants.
+    /// Applies a holder's change: closes the grant of an earlier tenure, settles
+    /// new charges, takes returned tokens back and grants more.
+    ///
+    /// A change whose sequence number was applied before changes nothing.
     ///
     /// # Errors
     ///
-    /// [`RowError::LaterTenure`] if the slot has a new holder,
-    /// [`RowError::GrantOverdrawn`] if the holder's account does not fit.
+    /// [`RowError::LaterTenure`] if the grant already belongs to a later tenure,
+    /// [`RowError::GrantOverdrawn`] if charged and returned tokens, or the use in
+    /// earlier tenures, exceed the open tokens of the grant.
     pub fn change_grant(&self, change: &GrantChange) -> Result<RowChange, RowError> {
         let former = self.grant(&change.slot);
         let closes = former.is_some_and(|grant| grant.tenure != change.tenure);
@@ -87,7 +95,8 @@
         Ok(RowChange::Write(row))
     }
 
-    /// The place of the changing holder's grant, opened or taken over.
+    /// Returns the index of the holder's grant. Creates an empty grant if the slot
+    /// has none and closes a grant of an earlier tenure.
     fn open_grant(&mut self, change: &GrantChange) -> Result<usize, RowError> {
         let index = match self.grant_index(&change.slot) {
             Ok(index) => index,
@@ -107,6 +116,8 @@
         Ok(index)
     }
 
+    /// Replaces the grant of an earlier tenure with one of the holder's tenure.
+    /// Open tokens carry over as far as the use in earlier tenures is known.
     fn close_grant(&mut self, index: usize, change: &GrantChange) -> Result<(), RowError> {
         let mut grant = empty_grant(&change.slot, change.tenure);
         std::mem::swap(&mut grant, &mut self.grants[index]);
@@ -119,8 +130,8 @@
         Ok(())
     }
 
-    /// Settles what the witness knows, freezes the float, and returns what
-    /// goes on to the new holder.
+    /// Settles the known charges of earlier tenures, freezes their uncharged
+    /// floats and returns the open tokens left for the new holder.
     fn settle_known_use(
         &mut self,
         grant: &BudgetGrant,
@@ -149,8 +160,11 @@
         Ok(open)
     }
 
-    /// Tokens to grant: the need if it is there, else a share of the rest
-    /// that shrinks towards the end and with the slots that draw on it.
+    /// Returns how many tokens to grant.
+    ///
+    /// `need` is granted as far as unspent tokens allow. Beyond it, `want` is
+    /// granted only up to the unspent tokens divided by twice the number of slots
+    /// with recent use, so that no slot takes all that is left of a budget.
     fn tokens_to_grant(&self, change: &GrantChange) -> TokenCount {
         let unspent = self.unspent();
         let active_slots = self
--- a/crates/guavawell-core/src/budget/row/frozen.rs
+++ b/crates/guavawell-core/src/budget/row/frozen.rs
@@ -1,4 +1,5 @@
-//! Frozen tokens: how they come to be, and the two ways in which they end.
+//! Freezing tokens of an ended tenure, and the two ways to release them: a late
+//! report of the former holder or an operator's reclaim.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,42 +13,46 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// The late word of a former holder about tokens that froze.
+/// A former holder's late report of its use of tokens that were frozen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FrozenReport {
     /// The slot.
     pub slot: SlotId,
     /// The tenure that ended.
     pub tenure: SlotEpoch,
-    /// Witnessed charges of that tenure, in all.
+    /// Sum of all charges to the witnessed part in that tenure.
     pub settled: TokenCount,
-    /// Float charges of that tenure, in all.
+    /// Sum of all charges to the float in that tenure.
     pub float_settled: TokenCount,
-    /// Worst cases of witnessed attempts whose outcome the holder does not
-    /// know yet.
+    /// Tokens reserved by attempts in the witnessed part whose outcome the
+    /// holder does not know yet.
     pub running: TokenCount,
 }
 
-/// An operator's audited word that a former holder is destroyed.
+/// An operator's audited statement that a former holder is lost for good and
+/// will never report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FrozenReclaim {
     /// The slot.
     pub slot: SlotId,
     /// The tenure that ended.
     pub tenure: SlotEpoch,
-    /// The most that the holder can have spent of the frozen tokens, as the
-    /// audit proves; `None` charges all of them.
+    /// Upper bound, proved by the audit, of what the holder spent of the frozen
+    /// tokens; `None` charges all of them.
     pub spent: Option<TokenCount>,
 }
 
 impl BudgetRow {
-    /// Applies a former holder's late report; a second one finds nothing.
+    /// Applies a former holder's late report: charges what it spent of the frozen
+    /// tokens and makes the others available again. A repeated report changes
+    /// nothing.
     ///
     /// # Errors
     ///
-    /// [`RowError::NotClosed`] while the grant is still the former holder's,
-    /// [`RowError::StillRunning`] if its running attempts draw on the frozen
-    /// tokens, [`RowError::GrantOverdrawn`] if it spent more than froze.
+    /// [`RowError::NotClosed`] while no later tenure has closed the grant,
+    /// [`RowError::StillRunning`] if the whole grant is frozen and the holder still
+    /// has running attempts, [`RowError::GrantOverdrawn`] if it spent more than was
+    /// frozen.
     pub fn report_frozen(&self, report: &FrozenReport) -> Result<RowChange, RowError> {
         let Some(index) = self.frozen_index(&report.slot, report.tenure) else {
             return self.nothing_frozen(&report.slot, report.tenure);
@@ -69,11 +74,12 @@
         Ok(RowChange::Write(self.settle_frozen(index, spent)))
     }
 
-    /// Ends frozen tokens by an operator's audited word.
+    /// Charges frozen tokens as an operator's audit states and makes the others
+    /// available again. A repeated reclaim changes nothing.
     ///
     /// # Errors
     ///
-    /// [`RowError::NotClosed`] while the grant is still the former holder's.
+    /// [`RowError::NotClosed`] while no later tenure has closed the grant.
     pub fn reclaim_frozen(&self, reclaim: &FrozenReclaim) -> Result<RowChange, RowError> {
         let Some(index) = self.frozen_index(&reclaim.slot, reclaim.tenure) else {
             return self.nothing_frozen(&reclaim.slot, reclaim.tenure);
@@ -101,7 +107,8 @@
         self.frozen.insert(index, frozen);
     }
 
-    /// Settles `spent` of the frozen tokens at `index`; the rest is unspent.
+    /// Removes the frozen tokens at `index` and settles `spent` of them, at most
+    /// all; the others become available again.
     fn settle_frozen(&self, index: usize, spent: TokenCount) -> Self {
         let mut row = self.clone();
         let frozen = row.frozen.remove(index);
@@ -110,6 +117,8 @@
         row
     }
 
+    /// Outcome for a tenure without frozen tokens: an error if its grant has not
+    /// been closed yet, otherwise nothing to change.
     fn nothing_frozen(&self, slot: &SlotId, tenure: SlotEpoch) -> Result<RowChange, RowError> {
         match self.grant(slot) {
             Some(grant) if grant.tenure <= tenure => Err(RowError::NotClosed),
--- a/crates/guavawell-core/src/budget/row/mod.rs
+++ b/crates/guavawell-core/src/budget/row/mod.rs
@@ -1,8 +1,9 @@
-//! The table's row of a budget, under `budget/{budget}`, and every change
-//! that may be made to it.
+//! The budget row, stored in the table under `budget/{budget}`, and the changes
+//! that can be made to it.
 //!
-//! In every transaction `settled + open grants + frozen tokens <= paid`.
-//! Each change may be applied twice: the row knows what it holds already.
+//! Every change preserves `settled + open grants + frozen tokens <= paid`. A
+//! change can be retried safely, because the row records which changes were
+//! applied. [`BudgetRow::refund`] is the exception: its caller prevents repeats.
 
 mod change;
 mod frozen;
@@ -33,108 +34,116 @@
 pub struct BudgetGrant {
     /// The slot.
     pub slot: SlotId,
-    /// The tenure of the holder that the grant is for.
+    /// The tenure of the holder that may spend the grant.
     pub tenure: SlotEpoch,
-    /// Tokens granted and not yet settled in the row.
+    /// Tokens granted and not yet charged or returned in the row.
     pub open: TokenCount,
-    /// Witnessed charges of this tenure that the row's `settled` holds.
+    /// Charges to the witnessed part in this tenure that are included in the
+    /// row's `settled`.
     pub reported: TokenCount,
-    /// Float charges of this tenure that the row's `settled` holds.
+    /// Charges to the float in this tenure that are included in the row's
+    /// `settled`.
     pub float_reported: TokenCount,
-    /// The holder's last change that was applied.
+    /// The sequence number of the holder's last change that was applied.
     pub sequence: u64,
-    /// The slot's recent use in tokens a minute, as its holder told.
+    /// The slot's recent use in tokens per minute, as reported by its holder.
     pub demand: TokenCount,
 }
 
-/// Tokens that nobody may grant until their former holder reports or an
-/// operator's audited word ends them.
+/// Tokens that may have been spent in an ended tenure. They can't be granted
+/// until the former holder reports its use or an operator reclaims them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FrozenTokens {
     /// The slot.
     pub slot: SlotId,
-    /// The tenure that held them.
+    /// The ended tenure.
     pub tenure: SlotEpoch,
-    /// The tokens: the most that the former holder may have spent of them.
+    /// The number of frozen tokens, an upper bound of what the former holder
+    /// spent without a record in the table.
     pub tokens: TokenCount,
-    /// Whether a whole grant froze (no witness was left), not just a float.
+    /// Whether all open tokens of the grant were frozen because no witness was
+    /// left, rather than just the float.
     pub whole: bool,
-    /// Witnessed charges that the row held when the tokens froze.
+    /// Charges to the witnessed part that the row included when the tokens were
+    /// frozen.
     pub reported: TokenCount,
-    /// Float charges that the row held when the tokens froze.
+    /// Charges to the float that the row included when the tokens were frozen.
     pub float_reported: TokenCount,
 }
 
-/// The table's row of a budget.
+/// The budget row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetRow {
     /// The organisation that paid.
     pub organisation: OrganisationId,
-    /// The sum that the manifest names.
+    /// The number of tokens that the manifest states.
     pub base: TokenCount,
     /// The sum of all top-ups.
     pub topped_up: TokenCount,
-    /// The sum in force: base and top-ups, or what is committed where a
-    /// manifest lowered the base below it.
+    /// The sum in force: `base + topped_up`, or the committed tokens if a manifest
+    /// lowered the base below them.
     pub paid: TokenCount,
-    /// Tokens charged for good.
+    /// Tokens charged, without those refunded.
     pub settled: TokenCount,
-    /// Tokens of second charges that were given back; `settled` is without them.
+    /// Tokens refunded because a request was charged twice; `settled` no longer
+    /// includes them.
     #[serde(default)]
     pub refunded: TokenCount,
     /// Open grants, sorted by slot.
     pub grants: Vec<BudgetGrant>,
     /// Frozen tokens, sorted by slot and tenure.
     pub frozen: Vec<FrozenTokens>,
-    /// Top-ups applied so far, sorted.
+    /// Ids of the top-ups applied so far, sorted.
     pub top_ups: Vec<TopUpId>,
     /// The manifest version that set the base.
     pub version: ManifestVersion,
 }
 
-/// Why a change does not fit a row. None of these is mended by a retry.
+/// Why a row rejects a change. An immediate retry never helps;
+/// [`Self::NotClosed`], [`Self::StillRunning`] and [`Self::NotReported`] can
+/// succeed later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum RowError {
-    /// Another holder has the slot's grant.
+    /// The slot's grant already belongs to a later tenure.
     #[error("the slot's grant belongs to a later tenure")]
     LaterTenure,
-    /// The change takes more from the grant than it holds.
-    #[error("the change takes more from the grant than the grant holds")]
+    /// The change deducts more tokens than the grant has open, or than are settled.
+    #[error("the change deducts more tokens than the grant has left")]
     GrantOverdrawn,
-    /// The former holder's grant is still open; the new one has to close it.
-    #[error("the former grant is not closed yet; report again after the new holder closed it")]
+    /// The former holder's grant is still open; the new holder has to close it
+    /// first.
+    #[error("the former grant is not closed yet; retry after the new holder has closed it")]
     NotClosed,
-    /// A whole grant froze, and attempts that draw on it still run.
-    #[error("attempts of the former holder still run; report again when they ended")]
+    /// The whole grant is frozen and attempts that draw on it still run.
+    #[error("attempts of the former holder are still running; report again once they end")]
     StillRunning,
-    /// A sum passes the largest count.
-    #[error("the sum passes the largest token count")]
+    /// The sum exceeds the largest representable token count.
+    #[error("the sum exceeds the largest token count")]
     Overflow,
-    /// The row remembers no more top-ups.
+    /// The row already stores the maximum number of top-ups.
     #[error(
-        "the row remembers {MAX_TOP_UPS} top-ups and takes no more; raise the sum in the manifest"
+        "the budget already has the maximum of {MAX_TOP_UPS} top-ups; raise the sum in the manifest"
     )]
     TooManyTopUps,
     /// The charge may not be in the row's settled tokens yet.
-    #[error("the charge is not reported to the row yet; give it back later")]
+    #[error("the charge is not reported to the budget row yet; refund it later")]
     NotReported,
     /// The manifest's version is older than the row's.
-    #[error("an older manifest version than the row's")]
+    #[error("the manifest version is older than the one in the budget row")]
     OlderVersion,
 }
 
-/// A row after a change.
+/// The outcome of a change to a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowChange {
     /// Write this row.
     Write(BudgetRow),
-    /// The row holds the change already, or there is nothing to change: no
-    /// write is needed.
+    /// The change was applied before or changes nothing; no write is needed.
     Applied,
 }
 
 impl BudgetRow {
-    /// A new budget as a manifest names it.
+    /// Creates the row of a new budget that a manifest declares.
     #[must_use]
     pub const fn new(
         organisation: OrganisationId,
@@ -155,7 +164,7 @@
         }
     }
 
-    /// Tokens that are settled, granted or frozen.
+    /// Tokens that are settled, granted or frozen, and so not available.
     #[must_use]
     pub fn committed(&self) -> TokenCount {
         let open: TokenCount = self.grants.iter().map(|grant| grant.open).sum();
@@ -163,7 +172,7 @@
         self.settled.saturating_add(open).saturating_add(frozen)
     }
 
-    /// The sum that operators want: the manifest's plus top-ups.
+    /// The sum that operators set: the manifest's base plus top-ups.
     #[must_use]
     pub const fn target(&self) -> TokenCount {
         self.base.saturating_add(self.topped_up)
@@ -175,14 +184,14 @@
         self.target().saturating_sub(self.committed())
     }
 
-    /// The grant of a slot.
+    /// The grant of a slot, if it has one.
     #[must_use]
     pub fn grant(&self, slot: &SlotId) -> Option<&BudgetGrant> {
         let index = self.grant_index(slot).ok()?;
         Some(&self.grants[index])
     }
 
-    /// The row as the holder of one slot needs it.
+    /// The part of the row that the holder of `slot` works with.
     #[must_use]
     pub fn view(&self, slot: &SlotId) -> GrantView {
         let grant = self.grant(slot);
--- a/crates/guavawell-core/src/budget/row/paid.rs
+++ b/crates/guavawell-core/src/budget/row/paid.rs
@@ -1,4 +1,4 @@
-//! The paid sum: the manifest's base and the operators' top-ups.
+//! The paid sum of a budget: the manifest's base plus operators' top-ups.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,10 +14,12 @@
 use crate::id::RequestId;
 use crate::id::TokenCount;
 
-/// Top-ups that a row remembers; each counts once, so none is forgotten.
+/// The maximum number of top-ups of one budget. The row keeps the id of each
+/// forever, so that a repeated top-up is never added twice.
 pub const MAX_TOP_UPS: usize = 256;
 
-/// An operator's id of one top-up; the same id counts once.
+/// The id that an operator gives to a top-up; a second top-up with the same id
+/// is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TopUpId(RequestId);
@@ -37,11 +39,12 @@
 }
 
 impl BudgetRow {
-    /// Adds a top-up once.
+    /// Adds a top-up, unless one with this id was added before.
     ///
     /// # Errors
     ///
-    /// [`RowError::Overflow`] or [`RowError::TooManyTopUps`].
+    /// [`RowError::TooManyTopUps`] if the row already has [`MAX_TOP_UPS`],
+    /// [`RowError::Overflow`] if the sum exceeds the largest token count.
     pub fn top_up(&self, id: &TopUpId, tokens: TokenCount) -> Result<RowChange, RowError> {
         let Err(index) = self.top_ups.binary_search(id) else {
             return Ok(RowChange::Applied);
@@ -59,14 +62,15 @@
         Ok(RowChange::Write(row))
     }
 
-    /// Sets the base sum that a manifest names; top-ups stay on top of it.
+    /// Sets the base sum that a manifest states; top-ups are added to it.
     ///
-    /// What is settled, granted or frozen stays paid; a lowered sum comes
-    /// into force as tokens come back.
+    /// The paid sum never falls below the settled, granted and frozen tokens. A
+    /// lower base takes full effect once enough granted or frozen tokens have
+    /// been returned.
     ///
     /// # Errors
     ///
-    /// [`RowError::OlderVersion`] if the row has a newer manifest's sum.
+    /// [`RowError::OlderVersion`] if the base comes from a newer manifest.
     pub fn set_base(
         &self,
         version: ManifestVersion,
@@ -85,7 +89,8 @@
         Ok(RowChange::Write(row))
     }
 
-    /// Raises the sum at once, and lowers it as far as tokens came back.
+    /// Recomputes the paid sum: the target, or the committed tokens while they
+    /// exceed it.
     pub(super) fn update_paid(&mut self) {
         self.paid = self.target().max(self.committed());
     }
--- a/crates/guavawell-core/src/budget/row/refund.rs
+++ b/crates/guavawell-core/src/budget/row/refund.rs
@@ -1,4 +1,4 @@
-//! Gives a second charge of one request back to its budget.
+//! Refunds a charge to its budget, for a request that was charged twice.
 
 use super::BudgetRow;
 use super::RowError;
@@ -7,27 +7,27 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// A charge to be given back, by its place among its tenure's charges.
+/// A charge to refund, identified by the sum of its tenure's charges up to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefundCharge {
     /// The slot that charged.
     pub slot: SlotId,
-    /// Its holder's tenure.
+    /// The tenure of the holder that charged.
     pub tenure: SlotEpoch,
     /// The pool that paid.
     pub pool: TokenPool,
-    /// All charges of that tenure's pool up to this one.
+    /// Sum of all charges to `pool` in that tenure, up to and including this one.
     pub counted: TokenCount,
     /// The charge.
     pub tokens: TokenCount,
 }
 
 impl BudgetRow {
-    /// Whether `settled` holds the charge for certain.
+    /// Whether `settled` is known to include the charge.
     ///
-    /// It does once its tenure reported as much, or was closed by a later one.
-    /// While tokens of the tenure, or of one before it, are frozen, a charge
-    /// may be among them.
+    /// It does once the tenure has reported charges up to [`RefundCharge::counted`],
+    /// or a later tenure has closed it. Neither counts while tokens of the tenure or
+    /// of an earlier one are frozen, because the charge may be among those tokens.
     #[must_use]
     pub fn holds_charge(&self, charge: &RefundCharge) -> bool {
         let is_frozen = self
@@ -45,13 +45,15 @@
         !is_frozen && (grant.tenure > charge.tenure || is_reported)
     }
 
-    /// Gives a charge back. The row does not know which charges it gave back:
-    /// the caller writes it in one transaction with the request's refund row,
-    /// which does.
+    /// Refunds a charge.
+    ///
+    /// The row does not record which charges were refunded. The caller must write
+    /// it in one transaction with the request's refund row, which does.
     ///
     /// # Errors
     ///
-    /// [`RowError::NotReported`] while `settled` may not hold the charge.
+    /// [`RowError::NotReported`] while `settled` may not include the charge,
+    /// [`RowError::GrantOverdrawn`] if `settled` is less than the charge.
     pub fn refund(&self, charge: &RefundCharge) -> Result<Self, RowError> {
         if !self.holds_charge(charge) {
             return Err(RowError::NotReported);
