--- a/crates/guavawell-core/examples/budget_experiment/slots.rs
+++ b/crates/guavawell-core/examples/budget_experiment/slots.rs
@@ -6,9 +6,9 @@
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::ReserveRequest;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
@@ -116,7 +116,7 @@
             self.ledger.refuse(&arrival);
             return;
         }
-        let reserve = ReserveAsk {
+        let reserve = ReserveRequest {
             identity: identity(place),
             attempt: AttemptId::new(place as u128),
             budget: budget_id(arrival.budget),
@@ -146,7 +146,7 @@
                 continue;
             };
             self.ledger.settle(&arrival);
-            let settle = SettleAsk {
+            let settle = SettleRequest {
                 identity: identity(place),
                 attempt: AttemptId::new(place as u128),
                 grant: grant.clone(),
--- a/crates/guavawell-core/src/budget/account.rs
+++ b/crates/guavawell-core/src/budget/account.rs
@@ -103,12 +103,12 @@
         self.float_reserved = TokenCount::ZERO;
     }
 
-    pub(super) fn hold(&mut self, pool: TokenPool, amount: TokenCount) {
+    pub(super) fn add_reserved(&mut self, pool: TokenPool, amount: TokenCount) {
         let reserved = self.reserved_mut(pool);
         *reserved = reserved.saturating_add(amount);
     }
 
-    pub(super) fn free(&mut self, pool: TokenPool, amount: TokenCount) {
+    pub(super) fn subtract_reserved(&mut self, pool: TokenPool, amount: TokenCount) {
         let reserved = self.reserved_mut(pool);
         *reserved = reserved.saturating_sub(amount);
     }
--- a/crates/guavawell-core/src/budget/holder/ask.rs
+++ b/crates/guavawell-core/src/budget/holder/ask.rs
@@ -6,14 +6,14 @@
 use super::SlotHolder;
 use super::stock::QueuedAsk;
 use super::wait::WaitKind;
-use crate::budget::ledger::HeldAttempt;
 use crate::budget::ledger::RequestState;
-use crate::budget::message::BackendNote;
+use crate::budget::ledger::ReservedAttempt;
+use crate::budget::message::BackendAssignment;
 use crate::budget::message::ReserveAnswer;
-use crate::budget::message::ReserveAsk;
 use crate::budget::message::ReserveGrant;
+use crate::budget::message::ReserveRequest;
 use crate::budget::message::SealAnswer;
-use crate::budget::message::SealAsk;
+use crate::budget::message::SealRequest;
 use crate::budget::message::TokenPool;
 use crate::budget::record::LedgerEntry;
 use crate::clock::ClockTime;
@@ -26,7 +26,7 @@
     pub(super) fn reserve(
         &mut self,
         ask: AskId,
-        reserve: ReserveAsk,
+        reserve: ReserveRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
@@ -60,7 +60,7 @@
     }
 
     /// The answer for a request whose outcome is known, or that runs.
-    pub(super) fn known_request(&self, reserve: &ReserveAsk) -> Option<ReserveAnswer> {
+    pub(super) fn known_request(&self, reserve: &ReserveRequest) -> Option<ReserveAnswer> {
         let answer = match self.ledger.request(&reserve.identity)? {
             RequestState::Sealed => ReserveAnswer::Sealed,
             RequestState::Settled(charge)
@@ -92,7 +92,7 @@
 
     /// The asked attempt, if a former tenure reserved it from the witnessed
     /// part and the ask is the same.
-    fn inherited(&self, reserve: &ReserveAsk) -> Option<HeldAttempt> {
+    fn inherited(&self, reserve: &ReserveRequest) -> Option<ReservedAttempt> {
         let held = self.held(&reserve.identity, reserve.attempt)?;
         let is_same = held.budget == reserve.budget && held.digest == reserve.digest;
         let is_former = held.tenure != self.ledger.tenure;
@@ -106,7 +106,7 @@
         &mut self,
         ask: AskId,
         identity: &RequestIdentity,
-        held: HeldAttempt,
+        held: ReservedAttempt,
         effects: &mut Vec<HolderEffect>,
     ) {
         self.record(LedgerEntry::Reserve {
@@ -125,7 +125,7 @@
     }
 
     /// Lets a repeated ask wait with the first one of its attempt.
-    fn is_awaited(&mut self, ask: AskId, reserve: &ReserveAsk) -> bool {
+    fn is_awaited(&mut self, ask: AskId, reserve: &ReserveRequest) -> bool {
         let attempt = reserve.attempt;
         let Some(place) = self.waits.iter().position(
             |wait| matches!(&wait.kind, WaitKind::Reserve(_, _, other) if *other == attempt),
@@ -140,7 +140,7 @@
 
     /// Whether the request is held by another attempt, so that the answer
     /// rests on this holder's word for it.
-    fn is_join(&self, reserve: &ReserveAsk) -> bool {
+    fn is_join(&self, reserve: &ReserveRequest) -> bool {
         let state = self.ledger.request(&reserve.identity);
         matches!(state, Some(RequestState::Reserved(held)) if held.attempt != reserve.attempt)
     }
@@ -150,7 +150,7 @@
     pub(super) fn join_later(
         &mut self,
         ask: AskId,
-        reserve: ReserveAsk,
+        reserve: ReserveRequest,
         effects: &mut Vec<HolderEffect>,
     ) {
         if self.silent {
@@ -165,7 +165,7 @@
     pub(super) fn join_alone(
         &self,
         ask: AskId,
-        reserve: &ReserveAsk,
+        reserve: &ReserveRequest,
         effects: &mut Vec<HolderEffect>,
     ) {
         let known = self.known_request(reserve);
@@ -175,7 +175,7 @@
 
     /// Lets a repeated ask take the place of the queued one; another attempt
     /// of a queued request waits on its own and joins once the first runs.
-    fn queue_again(&mut self, place: usize, ask: AskId, reserve: &ReserveAsk) -> bool {
+    fn queue_again(&mut self, place: usize, ask: AskId, reserve: &ReserveRequest) -> bool {
         let queue = &mut self.stocks[place].queue;
         let same = queue
             .iter_mut()
@@ -193,7 +193,7 @@
         &mut self,
         place: usize,
         ask: AskId,
-        reserve: &ReserveAsk,
+        reserve: &ReserveRequest,
         effects: &mut Vec<HolderEffect>,
     ) -> bool {
         let witnessed = self.is_witnessed() && self.witnessed_free(place) >= reserve.amount;
@@ -229,7 +229,7 @@
         &mut self,
         place: usize,
         ask: AskId,
-        reserve: ReserveAsk,
+        reserve: ReserveRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
@@ -250,7 +250,7 @@
         });
     }
 
-    pub(super) fn serve(&mut self, note: BackendNote) {
+    pub(super) fn serve(&mut self, note: BackendAssignment) {
         if self.held(&note.identity, note.attempt).is_none() {
             return;
         }
@@ -264,7 +264,7 @@
     pub(super) fn seal(
         &mut self,
         ask: AskId,
-        seal: &SealAsk,
+        seal: &SealRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
@@ -282,7 +282,7 @@
     }
 
     /// The answer to a seal, or `None` if it waits for the witness.
-    fn seal_answer(&self, seal: &SealAsk) -> Option<SealAnswer> {
+    fn seal_answer(&self, seal: &SealRequest) -> Option<SealAnswer> {
         if self.is_retired() || self.leaving {
             let holder = Some(self.next_holder());
             return Some(SealAnswer::NotHolder { holder });
@@ -314,14 +314,14 @@
         &self,
         identity: &RequestIdentity,
         attempt: AttemptId,
-    ) -> Option<HeldAttempt> {
+    ) -> Option<ReservedAttempt> {
         match self.ledger.request(identity) {
             Some(RequestState::Reserved(held)) if held.attempt == attempt => Some(held.clone()),
             _ => None,
         }
     }
 
-    pub(super) fn granted(&self, held: &HeldAttempt) -> ReserveAnswer {
+    pub(super) fn granted(&self, held: &ReservedAttempt) -> ReserveAnswer {
         ReserveAnswer::Granted(ReserveGrant {
             holder: self.row.holder.clone(),
             tenure: held.tenure,
--- a/crates/guavawell-core/src/budget/holder/charge.rs
+++ b/crates/guavawell-core/src/budget/holder/charge.rs
@@ -8,12 +8,12 @@
 use super::SlotHolder;
 use super::ask::answer_reserve;
 use super::wait::WaitKind;
-use crate::budget::ledger::HeldAttempt;
 use crate::budget::ledger::RequestState;
+use crate::budget::ledger::ReservedAttempt;
 use crate::budget::message::ReleaseAnswer;
-use crate::budget::message::ReleaseAsk;
+use crate::budget::message::ReleaseRequest;
 use crate::budget::message::SettleAnswer;
-use crate::budget::message::SettleAsk;
+use crate::budget::message::SettleRequest;
 use crate::budget::message::TokenPool;
 use crate::budget::record::LedgerEntry;
 use crate::clock::ClockTime;
@@ -24,7 +24,7 @@
     pub(super) fn settle(
         &mut self,
         ask: AskId,
-        settle: &SettleAsk,
+        settle: &SettleRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
@@ -34,7 +34,7 @@
         let state = self.ledger.request(&settle.identity).cloned();
         let answer = match state {
             Some(RequestState::Reserved(held)) if held.attempt == settle.attempt => {
-                let charged = held.owes(settle.grant.pool, settle.actual);
+                let charged = held.chargeable_tokens(settle.grant.pool, settle.actual);
                 self.charge(ask, settle, &held, charged, now, effects)
             }
             Some(RequestState::Settled(charge)) if charge.attempt == settle.attempt => {
@@ -62,7 +62,7 @@
     fn settle_elsewhere(
         &mut self,
         ask: AskId,
-        settle: &SettleAsk,
+        settle: &SettleRequest,
         effects: &mut Vec<HolderEffect>,
     ) {
         if self.held(&settle.identity, settle.attempt).is_some() {
@@ -88,8 +88,8 @@
     fn charge(
         &mut self,
         ask: AskId,
-        settle: &SettleAsk,
-        held: &HeldAttempt,
+        settle: &SettleRequest,
+        held: &ReservedAttempt,
         charged: TokenCount,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
@@ -123,7 +123,7 @@
     fn charge_notice(
         &self,
         identity: &RequestIdentity,
-        held: &HeldAttempt,
+        held: &ReservedAttempt,
     ) -> Option<Box<ChargeNotice>> {
         let Some(RequestState::Settled(charge)) = self.ledger.request(identity) else {
             return None;
@@ -153,7 +153,7 @@
     fn settled_again(
         &mut self,
         ask: AskId,
-        settle: &SettleAsk,
+        settle: &SettleRequest,
         charged: TokenCount,
         pool: TokenPool,
     ) -> Option<SettleAnswer> {
@@ -188,7 +188,7 @@
     pub(super) fn release(
         &mut self,
         ask: AskId,
-        release: &ReleaseAsk,
+        release: &ReleaseRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
@@ -196,7 +196,7 @@
         let state = self.ledger.request(&release.identity).cloned();
         let answer = match state {
             Some(RequestState::Reserved(held))
-                if held.attempt == release.attempt && release.concerns(held.tenure) =>
+                if held.attempt == release.attempt && release.applies_to(held.tenure) =>
             {
                 self.release_held(ask, release, &held, now, effects)
             }
@@ -208,7 +208,7 @@
             _ if self.is_retired() => Some(self.not_holder_release()),
             _ => {
                 // What waits here was asked in this tenure.
-                if release.concerns(self.ledger.tenure) {
+                if release.applies_to(self.ledger.tenure) {
                     self.drop_queued(release, effects);
                 }
                 self.wait_release(ask)
@@ -226,8 +226,8 @@
     fn release_held(
         &mut self,
         ask: AskId,
-        release: &ReleaseAsk,
-        held: &HeldAttempt,
+        release: &ReleaseRequest,
+        held: &ReservedAttempt,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) -> Option<ReleaseAnswer> {
@@ -261,7 +261,7 @@
     }
 
     /// A released attempt waits for nothing any more.
-    fn drop_queued(&mut self, release: &ReleaseAsk, effects: &mut Vec<HolderEffect>) {
+    fn drop_queued(&mut self, release: &ReleaseRequest, effects: &mut Vec<HolderEffect>) {
         let gone = self.unreachable();
         self.waits.retain(|wait| match &wait.kind {
             WaitKind::Join(ask, reserve) if reserve.attempt == release.attempt => {
--- a/crates/guavawell-core/src/budget/holder/event.rs
+++ b/crates/guavawell-core/src/budget/holder/event.rs
@@ -6,23 +6,23 @@
 use crate::budget::intent::TableFailure;
 use crate::budget::intent::TableIntent;
 use crate::budget::ledger::ChargedAttempt;
-use crate::budget::message::BackendNote;
+use crate::budget::message::BackendAssignment;
 use crate::budget::message::HandBackAnswer;
-use crate::budget::message::HandBackAsk;
+use crate::budget::message::HandBackRequest;
 use crate::budget::message::ReleaseAnswer;
-use crate::budget::message::ReleaseAsk;
+use crate::budget::message::ReleaseRequest;
 use crate::budget::message::ReserveAnswer;
-use crate::budget::message::ReserveAsk;
+use crate::budget::message::ReserveRequest;
 use crate::budget::message::SealAnswer;
-use crate::budget::message::SealAsk;
+use crate::budget::message::SealRequest;
 use crate::budget::message::SettleAnswer;
-use crate::budget::message::SettleAsk;
+use crate::budget::message::SettleRequest;
 use crate::budget::record::HandoverAck;
-use crate::budget::record::TakeoverAsk;
+use crate::budget::record::TakeoverRequest;
 use crate::budget::record::WitnessAck;
 use crate::budget::record::WitnessMessage;
 use crate::budget::record::WitnessRefusal;
-use crate::budget::slot::InstanceLife;
+use crate::budget::slot::InstanceIncarnation;
 use crate::budget::slot::SlotId;
 use crate::budget::slot::SlotRow;
 use crate::id::BudgetId;
@@ -52,17 +52,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HolderEvent {
     /// A router asks to reserve.
-    Reserve(AskId, ReserveAsk),
+    Reserve(AskId, ReserveRequest),
     /// A router asks to settle.
-    Settle(AskId, SettleAsk),
+    Settle(AskId, SettleRequest),
     /// A router gives a reservation back.
-    Release(AskId, ReleaseAsk),
+    Release(AskId, ReleaseRequest),
     /// A router names the backend server of an attempt; not answered.
-    Serve(BackendNote),
+    Serve(BackendAssignment),
     /// A router asks to seal a request.
-    Seal(AskId, SealAsk),
+    Seal(AskId, SealRequest),
     /// The holder of another zone asks for tokens.
-    HandBack(AskId, HandBackAsk),
+    HandBack(AskId, HandBackRequest),
     /// The witness acknowledges.
     Ack(WitnessAck),
     /// The witness refuses.
@@ -80,7 +80,7 @@
     HandBackDone(BudgetId),
     /// The driver names a new witness, or the present one anew; `None` ends
     /// witnessing while nobody else is there.
-    ChangeWitness(Option<InstanceLife>),
+    ChangeWitness(Option<InstanceIncarnation>),
     /// The billing records of these charges are durable, sorted by identity.
     Durable(Vec<RequestIdentity>),
     /// The instance leaves: hand the slot to the witness.
@@ -110,7 +110,7 @@
     /// Answer an ask.
     Answer(AskId, HolderAnswer),
     /// Send to a witness; loss is allowed.
-    Send(InstanceLife, WitnessMessage),
+    Send(InstanceIncarnation, WitnessMessage),
     /// Carry out against the table, then tell the outcome.
     Table(TableIntent),
     /// Ask the holders of these slots to give tokens back, then tell
@@ -124,10 +124,10 @@
         slots: Vec<SlotId>,
     },
     /// Ask the witness to take the slot over: this instance leaves.
-    HandSlot(InstanceLife, TakeoverAsk),
+    HandSlot(InstanceIncarnation, TakeoverRequest),
     /// A reservation was answered as unreachable while the witness may have
     /// it: give it back to whoever holds the slot until that one has it.
-    GiveBack(ReleaseAsk),
+    GiveBack(ReleaseRequest),
     /// A charge stands: keep its billing record.
     Charged(Box<ChargeNotice>),
     /// A change of state for the event log.
--- a/crates/guavawell-core/src/budget/holder/mod.rs
+++ b/crates/guavawell-core/src/budget/holder/mod.rs
@@ -25,11 +25,11 @@
 use std::sync::Arc;
 
 use super::intent::TableIntent;
-use super::ledger::HeldAttempt;
+use super::ledger::ReservedAttempt;
 use super::ledger::SlotLedger;
 use super::record::LedgerEntry;
 use super::row::GrantChange;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use super::slot::SlotId;
 use super::slot::SlotRow;
 use crate::clock::ClockTime;
@@ -234,10 +234,10 @@
     /// behind; ask the engine's own record, then settle or release them.
     pub fn attempts_of<'a>(
         &'a self,
-        router: &'a InstanceLife,
-    ) -> impl Iterator<Item = (&'a RequestIdentity, &'a HeldAttempt)> {
+        router: &'a InstanceIncarnation,
+    ) -> impl Iterator<Item = (&'a RequestIdentity, &'a ReservedAttempt)> {
         self.ledger
-            .held_attempts()
+            .reserved_attempts()
             .filter(move |(_, held)| held.router == *router)
     }
 
--- a/crates/guavawell-core/src/budget/holder/refill.rs
+++ b/crates/guavawell-core/src/budget/holder/refill.rs
@@ -13,7 +13,7 @@
 use crate::budget::intent::GrantView;
 use crate::budget::intent::TableFailure;
 use crate::budget::message::HandBackAnswer;
-use crate::budget::message::HandBackAsk;
+use crate::budget::message::HandBackRequest;
 use crate::budget::message::ReserveAnswer;
 use crate::budget::record::LedgerEntry;
 use crate::budget::row::GrantChange;
@@ -361,7 +361,7 @@
     pub(super) fn hand_back(
         &mut self,
         ask: AskId,
-        back: &HandBackAsk,
+        back: &HandBackRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
--- a/crates/guavawell-core/src/budget/holder/released.rs
+++ b/crates/guavawell-core/src/budget/holder/released.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::SlotHolder;
-use crate::budget::message::ReleaseAsk;
+use crate::budget::message::ReleaseRequest;
 use crate::clock::ClockTime;
 use crate::id::AttemptId;
 
@@ -46,8 +46,8 @@
 
 impl SlotHolder {
     /// Remembers that an attempt is not to be reserved in this tenure.
-    pub(super) fn remember_released(&mut self, release: &ReleaseAsk, now: ClockTime) {
-        if release.concerns(self.ledger.tenure) {
+    pub(super) fn remember_released(&mut self, release: &ReleaseRequest, now: ClockTime) {
+        if release.applies_to(self.ledger.tenure) {
             self.released.add(release.attempt, now);
         }
     }
--- a/crates/guavawell-core/src/budget/holder/retire.rs
+++ b/crates/guavawell-core/src/budget/holder/retire.rs
@@ -11,10 +11,10 @@
 use crate::budget::intent::TableIntent;
 use crate::budget::message::HandBackAnswer;
 use crate::budget::message::ReserveAnswer;
-use crate::budget::record::TakeoverAsk;
+use crate::budget::record::TakeoverRequest;
 use crate::budget::row::FrozenReport;
 use crate::budget::row::RowError;
-use crate::budget::slot::InstanceLife;
+use crate::budget::slot::InstanceIncarnation;
 use crate::budget::slot::SlotRow;
 use crate::clock::ClockTime;
 use crate::id::BudgetId;
@@ -34,7 +34,7 @@
     }
 
     /// Who decides for the slot, or soon will.
-    pub(super) fn next_holder(&self) -> InstanceLife {
+    pub(super) fn next_holder(&self) -> InstanceIncarnation {
         match &self.row.witness {
             Some(witness) if self.leaving && !self.is_retired() => witness.clone(),
             _ => self.row.holder.clone(),
@@ -57,7 +57,7 @@
         }
         let slot = self.slot.clone();
         let row = self.row.clone();
-        let ask = TakeoverAsk { slot, row };
+        let ask = TakeoverRequest { slot, row };
         effects.push(HolderEffect::HandSlot(witness, ask));
         self.read_slot(effects);
     }
@@ -107,7 +107,7 @@
     fn drop_promises(
         &mut self,
         place: usize,
-        holder: Option<&InstanceLife>,
+        holder: Option<&InstanceIncarnation>,
         effects: &mut Vec<HolderEffect>,
     ) {
         let stock = &mut self.stocks[place];
--- a/crates/guavawell-core/src/budget/holder/stock.rs
+++ b/crates/guavawell-core/src/budget/holder/stock.rs
@@ -4,7 +4,7 @@
 use super::event::AskId;
 use crate::budget::account::BudgetAccount;
 use crate::budget::intent::GrantView;
-use crate::budget::message::ReserveAsk;
+use crate::budget::message::ReserveRequest;
 use crate::budget::row::GrantChange;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct QueuedAsk {
     pub(super) ask: AskId,
-    pub(super) reserve: ReserveAsk,
+    pub(super) reserve: ReserveRequest,
     pub(super) since: ClockTime,
 }
 
--- a/crates/guavawell-core/src/budget/holder/wait.rs
+++ b/crates/guavawell-core/src/budget/holder/wait.rs
@@ -9,9 +9,9 @@
 use super::ask::answer_reserve;
 use crate::budget::ledger::RequestState;
 use crate::budget::message::ReleaseAnswer;
-use crate::budget::message::ReleaseAsk;
+use crate::budget::message::ReleaseRequest;
 use crate::budget::message::ReserveAnswer;
-use crate::budget::message::ReserveAsk;
+use crate::budget::message::ReserveRequest;
 use crate::budget::message::SealAnswer;
 use crate::budget::message::SettleAnswer;
 use crate::budget::message::TokenPool;
@@ -37,7 +37,7 @@
     Reserve(AskId, RequestIdentity, AttemptId),
     /// Decide a reservation anew: what is known of its request was not
     /// acknowledged when it was asked.
-    Join(AskId, Box<ReserveAsk>),
+    Join(AskId, Box<ReserveRequest>),
     /// Answer a charge.
     Settle(AskId, RequestIdentity, TokenCount),
     /// Answer a release.
@@ -162,7 +162,7 @@
                     identity: identity.clone(),
                     attempt,
                 });
-                effects.push(HolderEffect::GiveBack(ReleaseAsk {
+                effects.push(HolderEffect::GiveBack(ReleaseRequest {
                     identity: identity.clone(),
                     attempt,
                     before: Some(self.ledger.tenure.next()),
@@ -236,7 +236,7 @@
     fn finish_join(
         &mut self,
         ask: AskId,
-        reserve: ReserveAsk,
+        reserve: ReserveRequest,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
--- a/crates/guavawell-core/src/budget/holder/witnessing.rs
+++ b/crates/guavawell-core/src/budget/holder/witnessing.rs
@@ -15,7 +15,7 @@
 use crate::budget::record::WitnessMessage;
 use crate::budget::record::WitnessRecord;
 use crate::budget::record::WitnessRefusal;
-use crate::budget::slot::InstanceLife;
+use crate::budget::slot::InstanceIncarnation;
 use crate::budget::slot::SlotRow;
 use crate::clock::ClockTime;
 
@@ -146,7 +146,7 @@
     /// change.
     pub(super) fn change_witness(
         &mut self,
-        witness: Option<InstanceLife>,
+        witness: Option<InstanceIncarnation>,
         now: ClockTime,
         effects: &mut Vec<HolderEffect>,
     ) {
--- a/crates/guavawell-core/src/budget/ledger.rs
+++ b/crates/guavawell-core/src/budget/ledger.rs
@@ -10,7 +10,7 @@
 use super::message::TokenPool;
 use super::record::LedgerEntry;
 use super::row::FormerUse;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use crate::id::AttemptId;
 use crate::id::BackendId;
 use crate::id::BudgetId;
@@ -33,7 +33,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
     /// An attempt may be running.
-    Reserved(HeldAttempt),
+    Reserved(ReservedAttempt),
     /// The request was charged.
     Settled(ChargedAttempt),
     /// The request never runs.
@@ -42,7 +42,7 @@
 
 /// An attempt that may be running, at its worst case.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HeldAttempt {
+pub struct ReservedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// The budget drawn on.
@@ -55,21 +55,21 @@
     /// The reserved tokens.
     pub amount: TokenCount,
     /// The router that runs it.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// The backend server, where it is known.
     pub backend: Option<BackendId>,
     /// What is asked.
     pub digest: RequestDigest,
 }
 
-impl HeldAttempt {
+impl ReservedAttempt {
     /// What a charge of `actual` to `pool` takes here.
     ///
     /// An attempt that its router was granted from a float, while the witness
     /// had it as its own part, was paid by the former holder's float: here it
     /// only ends.
     #[must_use]
-    pub fn owes(&self, pool: TokenPool, actual: TokenCount) -> TokenCount {
+    pub fn chargeable_tokens(&self, pool: TokenPool, actual: TokenCount) -> TokenCount {
         if self.pool == pool {
             actual.min(self.amount)
         } else {
@@ -144,36 +144,36 @@
     /// The account of a budget, if it has one.
     #[must_use]
     pub fn account(&self, budget: &BudgetId) -> Option<&BudgetAccount> {
-        let place = self.account_place(budget).ok()?;
-        Some(&self.accounts[place])
+        let index = self.account_index(budget).ok()?;
+        Some(&self.accounts[index])
     }
 
     /// The account of a budget, made empty under the present tenure if new.
     pub fn account_mut(&mut self, budget: &BudgetId) -> &mut BudgetAccount {
-        let place = match self.account_place(budget) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.account_index(budget) {
+            Ok(index) => index,
+            Err(index) => {
                 let account = BudgetAccount::empty(budget.clone(), self.tenure);
-                self.accounts.insert(place, account);
-                place
+                self.accounts.insert(index, account);
+                index
             }
         };
-        &mut self.accounts[place]
+        &mut self.accounts[index]
     }
 
     /// The state of a request, if it is known.
     #[must_use]
     pub fn request(&self, identity: &RequestIdentity) -> Option<&RequestState> {
-        let place = self.request_place(identity).ok()?;
-        Some(&self.requests[place].state)
+        let index = self.request_index(identity).ok()?;
+        Some(&self.requests[index].state)
     }
 
     fn forget(&mut self, identity: &RequestIdentity) {
-        let Ok(place) = self.request_place(identity) else {
+        let Ok(index) = self.request_index(identity) else {
             return;
         };
-        if !matches!(self.requests[place].state, RequestState::Reserved(_)) {
-            self.requests.remove(place);
+        if !matches!(self.requests[index].state, RequestState::Reserved(_)) {
+            self.requests.remove(index);
         }
     }
 
@@ -199,7 +199,7 @@
                 router,
                 digest,
             } => {
-                let held = HeldAttempt {
+                let reserved = ReservedAttempt {
                     attempt: *attempt,
                     budget: budget.clone(),
                     pool: *pool,
@@ -209,7 +209,7 @@
                     backend: None,
                     digest: *digest,
                 };
-                self.reserve(identity, &held);
+                self.reserve(identity, &reserved);
             }
             LedgerEntry::Serve {
                 identity,
@@ -237,31 +237,32 @@
         }
     }
 
-    fn reserve(&mut self, identity: &RequestIdentity, held: &HeldAttempt) {
-        match self.request_place(identity) {
-            Ok(place) => {
-                let state = &mut self.requests[place].state;
-                let RequestState::Reserved(former) = state else {
+    fn reserve(&mut self, identity: &RequestIdentity, reserved: &ReservedAttempt) {
+        match self.request_index(identity) {
+            Ok(index) => {
+                let state = &mut self.requests[index].state;
+                let RequestState::Reserved(previous) = state else {
                     return;
                 };
-                let former = former.clone();
-                *state = RequestState::Reserved(held.clone());
-                self.free(&former);
+                let previous = previous.clone();
+                *state = RequestState::Reserved(reserved.clone());
+                self.unreserve(&previous);
             }
-            Err(place) => {
+            Err(index) => {
                 let entry = RequestEntry {
                     identity: identity.clone(),
-                    state: RequestState::Reserved(held.clone()),
+                    state: RequestState::Reserved(reserved.clone()),
                 };
-                self.requests.insert(place, entry);
+                self.requests.insert(index, entry);
             }
         }
-        self.account_mut(&held.budget).hold(held.pool, held.amount);
+        self.account_mut(&reserved.budget)
+            .add_reserved(reserved.pool, reserved.amount);
     }
 
     fn serve(&mut self, identity: &RequestIdentity, attempt: AttemptId, backend: &BackendId) {
-        if let Some(held) = self.held_mut(identity, attempt) {
-            held.backend = Some(backend.clone());
+        if let Some(reserved) = self.reserved_attempt_mut(identity, attempt) {
+            reserved.backend = Some(backend.clone());
         }
     }
 
@@ -272,42 +273,42 @@
         charged: TokenCount,
         backend: Option<&BackendId>,
     ) {
-        let Some(held) = self.held_mut(identity, attempt).cloned() else {
+        let Some(reserved) = self.reserved_attempt_mut(identity, attempt).cloned() else {
             return;
         };
         let charge = ChargedAttempt {
             attempt,
-            budget: held.budget.clone(),
-            pool: held.pool,
+            budget: reserved.budget.clone(),
+            pool: reserved.pool,
             charged,
-            backend: backend.cloned().or_else(|| held.backend.clone()),
-            digest: held.digest,
+            backend: backend.cloned().or_else(|| reserved.backend.clone()),
+            digest: reserved.digest,
         };
-        self.replace(identity, RequestState::Settled(charge));
-        self.free(&held);
-        if !self.is_frozen(&held) {
-            let account = self.account_mut(&held.budget);
-            account.counters.charge(held.pool, charged);
+        self.set_state(identity, RequestState::Settled(charge));
+        self.unreserve(&reserved);
+        if !self.is_frozen(&reserved) {
+            let account = self.account_mut(&reserved.budget);
+            account.counters.charge(reserved.pool, charged);
         }
     }
 
     fn release(&mut self, identity: &RequestIdentity, attempt: AttemptId) {
-        let Some(held) = self.held_mut(identity, attempt).cloned() else {
+        let Some(reserved) = self.reserved_attempt_mut(identity, attempt).cloned() else {
             return;
         };
-        if let Ok(place) = self.request_place(identity) {
-            self.requests.remove(place);
+        if let Ok(index) = self.request_index(identity) {
+            self.requests.remove(index);
         }
-        self.free(&held);
+        self.unreserve(&reserved);
     }
 
     fn seal(&mut self, identity: &RequestIdentity) {
-        if let Err(place) = self.request_place(identity) {
+        if let Err(index) = self.request_index(identity) {
             let entry = RequestEntry {
                 identity: identity.clone(),
                 state: RequestState::Sealed,
             };
-            self.requests.insert(place, entry);
+            self.requests.insert(index, entry);
         }
     }
 
@@ -317,9 +318,9 @@
     }
 
     /// Every attempt that may be running.
-    pub fn held_attempts(&self) -> impl Iterator<Item = (&RequestIdentity, &HeldAttempt)> {
+    pub fn reserved_attempts(&self) -> impl Iterator<Item = (&RequestIdentity, &ReservedAttempt)> {
         self.requests.iter().filter_map(|entry| match &entry.state {
-            RequestState::Reserved(held) => Some((&entry.identity, held)),
+            RequestState::Reserved(reserved) => Some((&entry.identity, reserved)),
             _ => None,
         })
     }
@@ -348,40 +349,41 @@
 
     /// Whether an attempt is paid from a float that a takeover froze.
     #[must_use]
-    pub fn is_frozen(&self, held: &HeldAttempt) -> bool {
-        held.pool == TokenPool::Float && held.tenure != self.tenure
+    pub fn is_frozen(&self, reserved: &ReservedAttempt) -> bool {
+        reserved.pool == TokenPool::Float && reserved.tenure != self.tenure
     }
 
-    fn free(&mut self, held: &HeldAttempt) {
-        if !self.is_frozen(held) {
-            self.account_mut(&held.budget).free(held.pool, held.amount);
+    fn unreserve(&mut self, reserved: &ReservedAttempt) {
+        if !self.is_frozen(reserved) {
+            self.account_mut(&reserved.budget)
+                .subtract_reserved(reserved.pool, reserved.amount);
         }
     }
 
-    fn replace(&mut self, identity: &RequestIdentity, state: RequestState) {
-        if let Ok(place) = self.request_place(identity) {
-            self.requests[place].state = state;
+    fn set_state(&mut self, identity: &RequestIdentity, state: RequestState) {
+        if let Ok(index) = self.request_index(identity) {
+            self.requests[index].state = state;
         }
     }
 
-    fn held_mut(
+    fn reserved_attempt_mut(
         &mut self,
         identity: &RequestIdentity,
         attempt: AttemptId,
-    ) -> Option<&mut HeldAttempt> {
-        let place = self.request_place(identity).ok()?;
-        match &mut self.requests[place].state {
-            RequestState::Reserved(held) if held.attempt == attempt => Some(held),
+    ) -> Option<&mut ReservedAttempt> {
+        let index = self.request_index(identity).ok()?;
+        match &mut self.requests[index].state {
+            RequestState::Reserved(reserved) if reserved.attempt == attempt => Some(reserved),
             _ => None,
         }
     }
 
-    fn account_place(&self, budget: &BudgetId) -> Result<usize, usize> {
+    fn account_index(&self, budget: &BudgetId) -> Result<usize, usize> {
         self.accounts
             .binary_search_by(|account| account.budget.cmp(budget))
     }
 
-    fn request_place(&self, identity: &RequestIdentity) -> Result<usize, usize> {
+    fn request_index(&self, identity: &RequestIdentity) -> Result<usize, usize> {
         self.requests
             .binary_search_by(|entry| entry.identity.cmp(identity))
     }
--- a/crates/guavawell-core/src/budget/message.rs
+++ b/crates/guavawell-core/src/budget/message.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use super::slot::SlotId;
 use crate::clock::ClockSpan;
 use crate::id::AttemptId;
@@ -41,7 +41,7 @@
 
 /// Asks the holder to reserve an attempt's worst case.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ReserveAsk {
+pub struct ReserveRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// This try of it.
@@ -51,14 +51,14 @@
     /// Prompt tokens plus output limit.
     pub amount: TokenCount,
     /// The life of the router that will run the attempt.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// What is asked: another ask under the same id is refused.
     pub digest: RequestDigest,
 }
 
-/// The holder's answer to a [`ReserveAsk`].
+/// The holder's answer to a [`ReserveRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReserveAnswer {
@@ -69,7 +69,7 @@
         /// The running attempt.
         attempt: AttemptId,
         /// The router that runs it.
-        router: InstanceLife,
+        router: InstanceIncarnation,
         /// The backend server, where it is known.
         backend: Option<BackendId>,
     },
@@ -102,7 +102,7 @@
     /// The asked router does not hold the slot.
     NotHolder {
         /// The holder, as last read.
-        holder: Option<InstanceLife>,
+        holder: Option<InstanceIncarnation>,
     },
 }
 
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReserveGrant {
     /// The holder that granted; a float attempt is settled with it alone.
-    pub holder: InstanceLife,
+    pub holder: InstanceIncarnation,
     /// The holder's tenure.
     pub tenure: SlotEpoch,
     /// The pool that was drawn on.
@@ -122,7 +122,7 @@
 /// Asks the holder to charge an attempt; answered before the end marker
 /// goes to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SettleAsk {
+pub struct SettleRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// The attempt that ran.
@@ -135,7 +135,7 @@
     pub backend: Option<BackendId>,
 }
 
-/// The holder's answer to a [`SettleAsk`].
+/// The holder's answer to a [`SettleRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettleAnswer {
@@ -166,7 +166,7 @@
     /// The asked router does not hold the slot.
     NotHolder {
         /// The holder, as last read.
-        holder: Option<InstanceLife>,
+        holder: Option<InstanceIncarnation>,
     },
 }
 
@@ -184,7 +184,7 @@
 
 /// Gives a reservation back: the attempt did not run and will not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ReleaseAsk {
+pub struct ReleaseRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// The attempt that did not run.
@@ -197,15 +197,15 @@
     pub before: Option<SlotEpoch>,
 }
 
-impl ReleaseAsk {
+impl ReleaseRequest {
     /// Whether a reservation of `tenure` is meant.
     #[must_use]
-    pub fn concerns(&self, tenure: SlotEpoch) -> bool {
+    pub fn applies_to(&self, tenure: SlotEpoch) -> bool {
         self.before.is_none_or(|before| tenure < before)
     }
 }
 
-/// The holder's answer to a [`ReleaseAsk`].
+/// The holder's answer to a [`ReleaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReleaseAnswer {
@@ -227,14 +227,14 @@
     /// The asked router does not hold the slot.
     NotHolder {
         /// The holder, as last read.
-        holder: Option<InstanceLife>,
+        holder: Option<InstanceIncarnation>,
     },
 }
 
 /// Tells the holder which backend server runs an attempt, so that another
 /// router may resume its stream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BackendNote {
+pub struct BackendAssignment {
     /// The request.
     pub identity: RequestIdentity,
     /// The attempt.
@@ -245,12 +245,12 @@
 
 /// Asks the holder to let no attempt of the request run from now on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct SealAsk {
+pub struct SealRequest {
     /// The request.
     pub identity: RequestIdentity,
 }
 
-/// The holder's answer to a [`SealAsk`].
+/// The holder's answer to a [`SealRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SealAnswer {
@@ -276,13 +276,13 @@
     /// The asked router does not hold the slot.
     NotHolder {
         /// The holder, as last read.
-        holder: Option<InstanceLife>,
+        holder: Option<InstanceIncarnation>,
     },
 }
 
 /// Asks the holder in another zone to give unspent tokens back to a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HandBackAsk {
+pub struct HandBackRequest {
     /// The slot that should give.
     pub slot: SlotId,
     /// The budget.
@@ -291,7 +291,7 @@
     pub wanted: TokenCount,
 }
 
-/// The holder's answer to a [`HandBackAsk`].
+/// The holder's answer to a [`HandBackRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandBackAnswer {
@@ -303,7 +303,7 @@
     /// The asked router does not hold the slot.
     NotHolder {
         /// The holder, as last read.
-        holder: Option<InstanceLife>,
+        holder: Option<InstanceIncarnation>,
     },
 }
 
@@ -311,7 +311,7 @@
 ///
 /// A holder learns the life of a candidate witness by it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeAnswer {
+pub struct IncarnationAnswer {
     /// The answering router's incarnation.
     pub incarnation: IncarnationId,
 }
--- a/crates/guavawell-core/src/budget/record.rs
+++ b/crates/guavawell-core/src/budget/record.rs
@@ -5,7 +5,7 @@
 
 use super::ledger::SlotLedger;
 use super::message::TokenPool;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use super::slot::SlotId;
 use super::slot::SlotRow;
 use crate::id::AttemptId;
@@ -24,9 +24,9 @@
     /// The slot's epoch, which rises with every change of holder or witness.
     pub epoch: SlotEpoch,
     /// The holder's life.
-    pub holder: InstanceLife,
+    pub holder: InstanceIncarnation,
     /// The witness's life.
-    pub witness: InstanceLife,
+    pub witness: InstanceIncarnation,
 }
 
 /// A batch of ledger entries from the holder to its witness.
@@ -57,7 +57,7 @@
         /// The reserved tokens.
         amount: TokenCount,
         /// The router that runs the attempt.
-        router: InstanceLife,
+        router: InstanceIncarnation,
         /// What is asked.
         digest: RequestDigest,
     },
@@ -176,7 +176,7 @@
 /// Asks a witness to take the slot over: its holder is believed dead, or
 /// leaves.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TakeoverAsk {
+pub struct TakeoverRequest {
     /// The slot.
     pub slot: SlotId,
     /// The row that the asker read.
--- a/crates/guavawell-core/src/budget/slot.rs
+++ b/crates/guavawell-core/src/budget/slot.rs
@@ -58,15 +58,15 @@
 #[must_use]
 pub fn shard_of(organisation: &OrganisationId, shards: u16) -> ShardId {
     let digest = Sha256::digest(organisation.as_str().as_bytes());
-    let mut head = [0; 8];
-    head.copy_from_slice(&digest[..8]);
-    let shard = u64::from_be_bytes(head) % u64::from(shards.max(1));
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&digest[..8]);
+    let shard = u64::from_be_bytes(prefix) % u64::from(shards.max(1));
     ShardId::new(u16::try_from(shard).unwrap_or_default())
 }
 
 /// One life of one instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct InstanceLife {
+pub struct InstanceIncarnation {
     /// The instance.
     pub instance: InstanceId,
     /// Its incarnation, drawn anew at each start.
@@ -79,10 +79,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotRow {
     /// The router that decides for the slot.
-    pub holder: InstanceLife,
+    pub holder: InstanceIncarnation,
     /// The router that acknowledges the holder's reservations, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub witness: Option<InstanceLife>,
+    pub witness: Option<InstanceIncarnation>,
     /// Rises with every change of holder or witness.
     pub epoch: SlotEpoch,
     /// The epoch at which the present holder began; its grants carry it.
@@ -92,7 +92,7 @@
 impl SlotRow {
     /// The first row of a slot that nobody holds yet.
     #[must_use]
-    pub const fn first(holder: InstanceLife) -> Self {
+    pub const fn first(holder: InstanceIncarnation) -> Self {
         Self {
             holder,
             witness: None,
@@ -103,7 +103,7 @@
 
     /// The row after the holder changed its witness.
     #[must_use]
-    pub fn with_witness(&self, witness: Option<InstanceLife>) -> Self {
+    pub fn with_witness(&self, witness: Option<InstanceIncarnation>) -> Self {
         Self {
             holder: self.holder.clone(),
             witness,
@@ -114,7 +114,7 @@
 
     /// The row after another router took the slot; it has no witness yet.
     #[must_use]
-    pub const fn with_holder(&self, holder: InstanceLife) -> Self {
+    pub const fn with_holder(&self, holder: InstanceIncarnation) -> Self {
         Self {
             holder,
             witness: None,
--- a/crates/guavawell-core/src/budget/witness.rs
+++ b/crates/guavawell-core/src/budget/witness.rs
@@ -16,7 +16,7 @@
 use super::record::WitnessMessage;
 use super::record::WitnessRecord;
 use super::record::WitnessRefusal;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use super::slot::SlotId;
 use super::slot::SlotRow;
 use crate::clock::ClockSpan;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WitnessEffect {
     /// Send to the holder; loss is allowed.
-    Send(InstanceLife, WitnessMessage),
+    Send(InstanceIncarnation, WitnessMessage),
     /// Carry out against the table, then tell the row.
     Table(TableIntent),
     /// The table names this instance as the holder: begin a
@@ -53,7 +53,7 @@
 
 /// One ledger that a holder entrusted to this witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct EntrustedLedger {
+struct LedgerReplica {
     stamp: RecordStamp,
     handover: u64,
     sequence: u64,
@@ -73,34 +73,38 @@
 /// The witness of one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotWitness {
-    life: InstanceLife,
+    incarnation: InstanceIncarnation,
     slot: SlotId,
-    retry: ClockSpan,
+    retry_interval: ClockSpan,
     /// Ledgers by epoch: the one that the table names, and those that it may
     /// name soon.
-    ledgers: Vec<EntrustedLedger>,
+    replicas: Vec<LedgerReplica>,
     takeover: Option<PendingTakeover>,
     /// The highest epoch that the table is known to have named. A ledger of
     /// this epoch or before may have been given up, so none is taken in: a
     /// late handover would bring a stopped witness back to life.
-    named: SlotEpoch,
+    latest_epoch: SlotEpoch,
 }
 
 impl SlotWitness {
-    /// A witness without a ledger; `retry` is the time between two tries of
+    /// A witness without a ledger; `retry_interval` is the time between two tries of
     /// a takeover whose answer is missing.
     ///
     /// The instance keeps it for its whole life, also while it has no ledger:
     /// what it gave up must not come back.
     #[must_use]
-    pub const fn new(life: InstanceLife, slot: SlotId, retry: ClockSpan) -> Self {
+    pub const fn new(
+        incarnation: InstanceIncarnation,
+        slot: SlotId,
+        retry_interval: ClockSpan,
+    ) -> Self {
         Self {
-            life,
+            incarnation,
             slot,
-            retry,
-            ledgers: Vec::new(),
+            retry_interval,
+            replicas: Vec::new(),
             takeover: None,
-            named: SlotEpoch::new(0),
+            latest_epoch: SlotEpoch::new(0),
         }
     }
 
@@ -112,10 +116,10 @@
         effects: &mut Vec<WitnessEffect>,
     ) {
         match event {
-            WitnessEvent::Record(record) => self.take_record(&record, effects),
-            WitnessEvent::Handover(handover) => self.take_handover(handover, effects),
+            WitnessEvent::Record(record) => self.apply_record(&record, effects),
+            WitnessEvent::Handover(handover) => self.accept_handover(handover, effects),
             WitnessEvent::TakeOver(row) => self.take_over(&row, now, effects),
-            WitnessEvent::SlotRead(row) => self.take_row(&row, effects),
+            WitnessEvent::SlotRead(row) => self.apply_row(&row, effects),
             WitnessEvent::Tick => self.tick(now, effects),
         }
     }
@@ -123,7 +127,7 @@
     /// Whether it keeps a ledger.
     #[must_use]
     pub const fn has_ledger(&self) -> bool {
-        !self.ledgers.is_empty()
+        !self.replicas.is_empty()
     }
 
     /// Whether it has stopped in order to take the slot over.
@@ -132,60 +136,60 @@
         self.takeover.is_some()
     }
 
-    fn take_record(&mut self, record: &WitnessRecord, effects: &mut Vec<WitnessEffect>) {
+    fn apply_record(&mut self, record: &WitnessRecord, effects: &mut Vec<WitnessEffect>) {
         let stamp = record.stamp.clone();
         let found = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| entrusted.stamp == stamp);
-        let Some(place) = found.filter(|_| stamp.witness == self.life) else {
+            .position(|replica| replica.stamp == stamp);
+        let Some(index) = found.filter(|_| stamp.witness == self.incarnation) else {
             return refuse(stamp, RefusalReason::UnknownStamp, effects);
         };
-        let entrusted = &mut self.ledgers[place];
-        if entrusted.is_stopped {
+        let replica = &mut self.replicas[index];
+        if replica.is_stopped {
             return refuse(stamp, RefusalReason::Stopped, effects);
         }
-        if record.sequence > entrusted.sequence + 1 {
+        if record.sequence > replica.sequence + 1 {
             return refuse(stamp, RefusalReason::Gap, effects);
         }
-        if record.sequence == entrusted.sequence + 1 {
-            entrusted.sequence = record.sequence;
+        if record.sequence == replica.sequence + 1 {
+            replica.sequence = record.sequence;
             for entry in &record.entries {
-                entrusted.ledger.apply(entry);
+                replica.ledger.apply(entry);
             }
         }
         let ack = WitnessAck {
-            sequence: entrusted.sequence,
+            sequence: replica.sequence,
             stamp: stamp.clone(),
         };
-        self.forget_before(&stamp);
+        self.drop_older_replicas(&stamp);
         effects.push(WitnessEffect::Send(stamp.holder, WitnessMessage::Ack(ack)));
     }
 
     /// A record under an epoch proves that the table named it: ledgers of
     /// former epochs are of no use any more.
-    fn forget_before(&mut self, stamp: &RecordStamp) {
-        self.named = self.named.max(stamp.epoch);
-        self.ledgers
-            .retain(|entrusted| entrusted.stamp.epoch >= stamp.epoch);
+    fn drop_older_replicas(&mut self, stamp: &RecordStamp) {
+        self.latest_epoch = self.latest_epoch.max(stamp.epoch);
+        self.replicas
+            .retain(|replica| replica.stamp.epoch >= stamp.epoch);
     }
 
-    fn take_handover(&mut self, handover: LedgerHandover, effects: &mut Vec<WitnessEffect>) {
+    fn accept_handover(&mut self, handover: LedgerHandover, effects: &mut Vec<WitnessEffect>) {
         let stamp = handover.stamp;
-        if stamp.witness != self.life {
+        if stamp.witness != self.incarnation {
             return;
         }
         let known = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| entrusted.stamp == stamp);
+            .position(|replica| replica.stamp == stamp);
         match known {
-            Some(place) if self.ledgers[place].handover > handover.handover => return,
-            Some(place) if self.ledgers[place].handover == handover.handover => {}
-            _ if stamp.epoch <= self.named => return,
+            Some(index) if self.replicas[index].handover > handover.handover => return,
+            Some(index) if self.replicas[index].handover == handover.handover => {}
+            _ if stamp.epoch <= self.latest_epoch => return,
             _ => {
-                self.ledgers.retain(|entrusted| entrusted.stamp != stamp);
-                self.ledgers.push(EntrustedLedger {
+                self.replicas.retain(|replica| replica.stamp != stamp);
+                self.replicas.push(LedgerReplica {
                     stamp: stamp.clone(),
                     handover: handover.handover,
                     sequence: 0,
@@ -204,17 +208,17 @@
 
     /// Stops first, then closes the epoch in the table.
     fn take_over(&mut self, row: &SlotRow, now: ClockTime, effects: &mut Vec<WitnessEffect>) {
-        let named = self
-            .ledgers
+        let current = self
+            .replicas
             .iter_mut()
-            .find(|entrusted| is_named(&entrusted.stamp, row));
-        let Some(entrusted) = named else {
+            .find(|replica| matches_row(&replica.stamp, row));
+        let Some(replica) = current else {
             return;
         };
-        entrusted.is_stopped = true;
+        replica.is_stopped = true;
         self.takeover = Some(PendingTakeover {
             expected: row.clone(),
-            row: row.with_holder(self.life.clone()),
+            row: row.with_holder(self.incarnation.clone()),
             sent_at: now,
         });
         self.send_takeover(effects);
@@ -230,8 +234,8 @@
         }
     }
 
-    fn take_row(&mut self, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
-        self.named = self.named.max(row.epoch);
+    fn apply_row(&mut self, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
+        self.latest_epoch = self.latest_epoch.max(row.epoch);
         if let Some(takeover) = &self.takeover {
             if row.epoch <= takeover.expected.epoch {
                 return;
@@ -242,18 +246,17 @@
             }
             self.takeover = None;
         }
-        self.ledgers.retain(|entrusted| {
-            entrusted.stamp.epoch > row.epoch || is_named(&entrusted.stamp, row)
-        });
+        self.replicas
+            .retain(|replica| replica.stamp.epoch > row.epoch || matches_row(&replica.stamp, row));
     }
 
     fn begin(&mut self, ended: &SlotRow, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
         let found = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| is_named(&entrusted.stamp, ended));
-        if let Some(place) = found {
-            let mut ledger = self.ledgers.remove(place).ledger;
+            .position(|replica| matches_row(&replica.stamp, ended));
+        if let Some(index) = found {
+            let mut ledger = self.replicas.remove(index).ledger;
             ledger.begin_tenure(row.tenure);
             effects.push(WitnessEffect::Begin(row.clone(), Box::new(ledger)));
         }
@@ -263,14 +266,14 @@
         let Some(takeover) = &mut self.takeover else {
             return;
         };
-        if now.since(takeover.sent_at) >= self.retry {
+        if now.since(takeover.sent_at) >= self.retry_interval {
             takeover.sent_at = now;
             self.send_takeover(effects);
         }
     }
 }
 
-fn is_named(stamp: &RecordStamp, row: &SlotRow) -> bool {
+fn matches_row(stamp: &RecordStamp, row: &SlotRow) -> bool {
     stamp.epoch == row.epoch
         && stamp.holder == row.holder
         && row.witness.as_ref() == Some(&stamp.witness)
--- a/crates/guavawell-core/src/request/billing/buffer.rs
+++ b/crates/guavawell-core/src/request/billing/buffer.rs
@@ -3,7 +3,7 @@
 use super::record::BillingRecord;
 use super::segment::JournalSegment;
 use super::segment::SegmentName;
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::budget::SlotId;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
@@ -31,7 +31,7 @@
 pub struct JournalBuffer {
     policy: JournalPolicy,
     slot: SlotId,
-    router: InstanceLife,
+    router: InstanceIncarnation,
     sequence: u64,
     open: Vec<BillingRecord>,
     open_since: ClockTime,
@@ -41,7 +41,7 @@
 impl JournalBuffer {
     /// An empty buffer of `slot` at `router`.
     #[must_use]
-    pub const fn new(policy: JournalPolicy, slot: SlotId, router: InstanceLife) -> Self {
+    pub const fn new(policy: JournalPolicy, slot: SlotId, router: InstanceIncarnation) -> Self {
         Self {
             policy,
             slot,
--- a/crates/guavawell-core/src/request/billing/doubt.rs
+++ b/crates/guavawell-core/src/request/billing/doubt.rs
@@ -1,7 +1,7 @@
 //! Requests in doubt: reserved, perhaps sent, and not settled by a router
 //! that is gone.
 
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::id::AttemptId;
 use crate::id::BackendId;
 use crate::id::BudgetId;
@@ -21,7 +21,7 @@
     /// The reserved worst case.
     pub reserved: TokenCount,
     /// The router that ran the attempt.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// The backend server, if the router told before it was gone.
     pub backend: Option<BackendId>,
     /// Whether nobody asks for the answer any more.
--- a/crates/guavawell-core/src/request/billing/segment.rs
+++ b/crates/guavawell-core/src/request/billing/segment.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use super::record::BillingRecord;
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::budget::SlotId;
 use crate::id::IncarnationId;
 
@@ -23,7 +23,7 @@
     /// The slot whose charges it holds.
     pub slot: SlotId,
     /// The router that wrote it.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// Its number, from 0.
     pub sequence: u64,
 }
@@ -47,7 +47,7 @@
 impl fmt::Display for SegmentName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SlotId { zone, shard } = &self.slot;
-        let InstanceLife {
+        let InstanceIncarnation {
             instance,
             incarnation,
         } = &self.router;
@@ -78,7 +78,7 @@
     let instance = ends.next()?.parse().ok()?;
     Some(SegmentName {
         slot: SlotId { zone, shard },
-        router: InstanceLife {
+        router: InstanceIncarnation {
             instance,
             incarnation,
         },
--- a/crates/guavawell-core/src/request/billing/tests.rs
+++ b/crates/guavawell-core/src/request/billing/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::budget::BudgetRow;
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::budget::RowError;
 use crate::budget::SlotId;
 use crate::budget::TokenPool;
@@ -25,8 +25,8 @@
     }
 }
 
-fn router() -> InstanceLife {
-    InstanceLife {
+fn router() -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: "tln-a-1".parse().unwrap(),
         incarnation: IncarnationId::new(77),
     }
--- a/crates/guavawell-core/src/request/claim/row.rs
+++ b/crates/guavawell-core/src/request/claim/row.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::clock::ClockTime;
 use crate::id::AttemptId;
 use crate::request::identity::RequestIdentity;
@@ -28,7 +28,7 @@
     /// The attempt that wrote the row; tells a lost write's read-back whose it is.
     pub attempt: AttemptId,
     /// The router that wrote the row.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// When, by that router's clock; for people only.
     pub at: ClockTime,
 }
--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -1,6 +1,6 @@
 //! The state machine of one attempt's claim, seal or release.
 
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::clock::ClockTime;
 use crate::id::AttemptId;
 use crate::id::ClaimGeneration;
@@ -120,7 +120,7 @@
         identity: RequestIdentity,
         goal: ClaimGoal,
         attempt: AttemptId,
-        router: InstanceLife,
+        router: InstanceIncarnation,
         at: ClockTime,
         start: TryStart,
     ) -> Self {
--- a/crates/guavawell-core/tests/budget_differential/ledger.rs
+++ b/crates/guavawell-core/tests/budget_differential/ledger.rs
@@ -5,11 +5,11 @@
 use guavawell_core::budget::HolderAnswer;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
@@ -141,7 +141,7 @@
             charged: None,
             is_released: false,
         });
-        let reserve = ReserveAsk {
+        let reserve = ReserveRequest {
             identity: identity(request),
             attempt: AttemptId::new(place as u128),
             budget: budget_id(budget),
@@ -167,7 +167,7 @@
         let actual = seen.charged.unwrap_or(used.min(grant.amount));
         seen.charged = Some(actual);
         let zone = seen.zone;
-        let settle = SettleAsk {
+        let settle = SettleRequest {
             identity: identity(seen.request),
             attempt: AttemptId::new(place as u128),
             grant: grant.clone(),
@@ -192,7 +192,7 @@
         };
         seen.is_released = true;
         let zone = seen.zone;
-        let release = ReleaseAsk {
+        let release = ReleaseRequest {
             identity: identity(seen.request),
             attempt: AttemptId::new(place as u128),
             before: None,
--- a/crates/guavawell-core/tests/budget_fleet/deliver.rs
+++ b/crates/guavawell-core/tests/budget_fleet/deliver.rs
@@ -1,11 +1,11 @@
 //! Letters on their way, and what holders and witnesses do with them.
 
 use guavawell_core::budget::AskId;
-use guavawell_core::budget::HandBackAsk;
+use guavawell_core::budget::HandBackRequest;
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderNote;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::WitnessEffect;
 use guavawell_core::budget::WitnessEvent;
@@ -102,7 +102,7 @@
             let Some(donor) = donor.filter(|donor| self.can_talk(instance, *donor)) else {
                 continue;
             };
-            let ask = HandBackAsk {
+            let ask = HandBackRequest {
                 slot: slot(other),
                 budget: budget.clone(),
                 wanted,
@@ -136,7 +136,13 @@
         }
     }
 
-    fn send(&mut self, from: usize, zone: usize, to: &InstanceLife, message: WitnessMessage) {
+    fn send(
+        &mut self,
+        from: usize,
+        zone: usize,
+        to: &InstanceIncarnation,
+        message: WitnessMessage,
+    ) {
         let Some(to) = self.instance_of(to) else {
             return;
         };
--- a/crates/guavawell-core/tests/budget_fleet/drive.rs
+++ b/crates/guavawell-core/tests/budget_fleet/drive.rs
@@ -1,7 +1,7 @@
 //! What a test does to the fleet: asks, time, crashes and takeovers.
 
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::SlotWitness;
 use guavawell_core::budget::WitnessEvent;
@@ -91,7 +91,7 @@
     }
 
     /// A reachable instance, in the preferred place if there is one.
-    fn candidate(&self, instance: usize) -> Option<InstanceLife> {
+    fn candidate(&self, instance: usize) -> Option<InstanceIncarnation> {
         let zone = self.instances[instance].zone;
         let mut others: Vec<usize> = (0..self.instances.len())
             .filter(|other| *other != instance && self.can_talk(instance, *other))
--- a/crates/guavawell-core/tests/budget_fleet/mod.rs
+++ b/crates/guavawell-core/tests/budget_fleet/mod.rs
@@ -18,7 +18,7 @@
 use guavawell_core::budget::HolderAnswer;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -43,7 +43,7 @@
 const OWN_ASKS: u64 = 1 << 60;
 
 pub struct FleetInstance {
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     pub zone: usize,
     pub is_up: bool,
     pub holders: Vec<SlotHolder>,
@@ -109,7 +109,7 @@
     ) -> Self {
         let retry = ClockSpan::from_millis(500);
         let instance = |place: usize| {
-            let life = InstanceLife {
+            let life = InstanceIncarnation {
                 instance: format!("i{place}").parse().unwrap(),
                 incarnation: IncarnationId::new(1),
             };
@@ -169,7 +169,7 @@
         Some((instance, place))
     }
 
-    pub fn instance_of(&self, life: &InstanceLife) -> Option<usize> {
+    pub fn instance_of(&self, life: &InstanceIncarnation) -> Option<usize> {
         self.instances
             .iter()
             .position(|instance| instance.is_up && instance.life == *life)
--- a/crates/guavawell-core/tests/budget_journal.rs
+++ b/crates/guavawell-core/tests/budget_journal.rs
@@ -10,11 +10,11 @@
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::RowChange;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -41,8 +41,8 @@
     notices: Vec<ChargeNotice>,
 }
 
-fn life() -> InstanceLife {
-    InstanceLife {
+fn life() -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: "a-1".parse().unwrap(),
         incarnation: IncarnationId::new(7),
     }
@@ -111,7 +111,7 @@
 
     fn charge(&mut self, number: u64, tokens: u64) {
         let attempt = AttemptId::new(number.into());
-        let reserve = ReserveAsk {
+        let reserve = ReserveRequest {
             identity: identity(number),
             attempt,
             budget: budget(),
@@ -124,7 +124,7 @@
         let [HolderAnswer::Reserve(ReserveAnswer::Granted(grant))] = &answers[..] else {
             panic!("{answers:?}");
         };
-        let settle = SettleAsk {
+        let settle = SettleRequest {
             identity: identity(number),
             attempt,
             grant: grant.clone(),
--- a/crates/guavawell-core/tests/budget_large/rig.rs
+++ b/crates/guavawell-core/tests/budget_large/rig.rs
@@ -11,13 +11,13 @@
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::InstanceIncarnation;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::RowChange;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -83,8 +83,8 @@
 }
 
 /// The life of the rig's holder (0) or witness (1).
-pub fn life(number: usize) -> InstanceLife {
-    InstanceLife {
+pub fn life(number: usize) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: format!("bern-halle-{number}").parse().expect("a good id"),
         incarnation: IncarnationId::new(1),
     }
@@ -116,8 +116,8 @@
 }
 
 /// A reservation as a router asks for it.
-pub fn reserve_ask(request: u64, number: usize) -> ReserveAsk {
-    ReserveAsk {
+pub fn reserve_ask(request: u64, number: usize) -> ReserveRequest {
+    ReserveRequest {
         identity: identity(request, number),
         attempt: AttemptId::new(u128::from(request)),
         budget: budget(number),
@@ -170,7 +170,7 @@
     pub fn open_all(&mut self) {
         for number in 0..self.rows.len() {
             let ask = reserve_ask(number as u64, number);
-            let release = ReleaseAsk {
+            let release = ReleaseRequest {
                 identity: ask.identity.clone(),
                 attempt: ask.attempt,
                 before: None,
@@ -191,7 +191,7 @@
         self.tell(HolderEvent::Reserve(id, ask));
         let grant = self.grant.take().expect("the budget covers the request");
         let id = self.next_ask();
-        let settle = SettleAsk {
+        let settle = SettleRequest {
             identity,
             attempt,
             grant,
--- a/crates/guavawell-core/tests/budget_regrant.rs
+++ b/crates/guavawell-core/tests/budget_regrant.rs
@@ -26,16 +26,16 @@
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::LedgerHandover;
 use guavawell_core::budget::RecordStamp;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::RowChange;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -59,8 +59,8 @@
 /// Longer than a holder waits for its witness.
 const PAST_WITNESS: ClockSpan = ClockSpan::from_millis(1_000);
 
-fn life(name: &str) -> InstanceLife {
-    InstanceLife {
+fn life(name: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: name.parse().unwrap(),
         incarnation: IncarnationId::new(1),
     }
@@ -78,7 +78,7 @@
 }
 
 fn reserve(request: u32) -> HolderEvent {
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         identity: identity(request),
         attempt: AttemptId::new(u128::from(request)),
         budget: "m".parse().unwrap(),
@@ -91,7 +91,7 @@
 }
 
 fn settle(request: u32, grant: &ReserveGrant, actual: u64) -> HolderEvent {
-    let ask = SettleAsk {
+    let ask = SettleRequest {
         identity: identity(request),
         attempt: AttemptId::new(u128::from(request)),
         grant: grant.clone(),
@@ -111,7 +111,7 @@
     /// Whether the witness's answers reach the former holder.
     is_heard: bool,
     answers: Vec<HolderAnswer>,
-    given_back: Vec<ReleaseAsk>,
+    given_back: Vec<ReleaseRequest>,
     reports: Vec<FrozenReport>,
 }
 
@@ -302,7 +302,7 @@
     pair.resume_former();
     let grant = pair.grant_again();
     pair.hears_of_takeover();
-    let disowned = ReleaseAsk {
+    let disowned = ReleaseRequest {
         identity: identity(1),
         attempt: AttemptId::new(1),
         before: Some(grant.tenure),
@@ -322,7 +322,7 @@
     let mut pair = TenurePair::parted(0);
     let grant = pair.grant_again();
     pair.resume_former();
-    let given: Vec<ReleaseAsk> = std::mem::take(&mut pair.given_back);
+    let given: Vec<ReleaseRequest> = std::mem::take(&mut pair.given_back);
     assert_eq!(given.len(), 1, "the witness may have it");
     for ask in given {
         pair.tell_successor(HolderEvent::Release(AskId::new(3), ask));
@@ -340,7 +340,7 @@
         pair.tell_successor(HolderEvent::Release(AskId::new(3), ask));
     }
     let successor = pair.successor.as_ref().expect("a successor");
-    let held = successor.ledger().held_attempts();
+    let held = successor.ledger().reserved_attempts();
     let requests: Vec<&RequestIdentity> = held.map(|(identity, _)| identity).collect();
     assert_eq!(
         requests,
--- a/crates/guavawell-core/tests/budget_release/answered.rs
+++ b/crates/guavawell-core/tests/budget_release/answered.rs
@@ -7,7 +7,7 @@
 use guavawell_core::budget::ReleaseAnswer;
 use guavawell_core::budget::ReserveAnswer;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::WitnessRefusal;
 
@@ -181,7 +181,7 @@
 #[test]
 fn a_seal_found_before_its_acknowledgement_is_no_refusal_for_good() {
     let mut rig = HolderRig::ready(0);
-    let seal = SealAsk {
+    let seal = SealRequest {
         identity: identity(1),
     };
     rig.tell(HolderEvent::Seal(AskId::new(1), seal.clone()));
@@ -200,7 +200,7 @@
 #[test]
 fn a_seal_that_its_witness_may_lack_is_not_told() {
     let mut rig = HolderRig::ready(50);
-    let seal = SealAsk {
+    let seal = SealRequest {
         identity: identity(1),
     };
     rig.tell(HolderEvent::Seal(AskId::new(1), seal));
--- a/crates/guavawell-core/tests/budget_release/late.rs
+++ b/crates/guavawell-core/tests/budget_release/late.rs
@@ -4,7 +4,7 @@
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 
 use crate::rig::HolderRig;
 use crate::rig::identity;
@@ -77,7 +77,7 @@
     rig.settle_down();
     assert!(is_granted(rig.reserved(1)));
     rig.succeed();
-    let seal = SealAsk {
+    let seal = SealRequest {
         identity: identity(7),
     };
     rig.tell(HolderEvent::Seal(AskId::new(2), seal));
--- a/crates/guavawell-core/tests/budget_release/rig.rs
+++ b/crates/guavawell-core/tests/budget_release/rig.rs
@@ -8,11 +8,11 @@
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::RowChange;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
@@ -43,11 +43,11 @@
     pub answers: Vec<(u64, HolderAnswer)>,
     pub acks: Vec<WitnessAck>,
     pub intents: Vec<TableIntent>,
-    pub given_back: Vec<ReleaseAsk>,
+    pub given_back: Vec<ReleaseRequest>,
 }
 
-pub fn life(name: &str) -> InstanceLife {
-    InstanceLife {
+pub fn life(name: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: name.parse().unwrap(),
         incarnation: IncarnationId::new(1),
     }
@@ -123,7 +123,7 @@
     }
 
     pub fn reserve(&mut self, ask: u64, request: u32, attempt: u128) {
-        let reserve = ReserveAsk {
+        let reserve = ReserveRequest {
             identity: identity(request),
             attempt: AttemptId::new(attempt),
             budget: "m".parse().unwrap(),
@@ -146,7 +146,7 @@
         attempt: u128,
         before: Option<SlotEpoch>,
     ) {
-        let release = ReleaseAsk {
+        let release = ReleaseRequest {
             identity: identity(request),
             attempt: AttemptId::new(attempt),
             before,
--- a/crates/guavawell-core/tests/budget_search/world/deliver.rs
+++ b/crates/guavawell-core/tests/budget_search/world/deliver.rs
@@ -5,7 +5,7 @@
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderNote;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReleaseAnswer;
 use guavawell_core::budget::RequestState;
 use guavawell_core::budget::ReserveAnswer;
@@ -226,7 +226,7 @@
         }
     }
 
-    fn send(&mut self, to: InstanceLife, message: WitnessMessage) {
+    fn send(&mut self, to: InstanceIncarnation, message: WitnessMessage) {
         let found = self
             .nodes
             .iter()
--- a/crates/guavawell-core/tests/budget_search/world/mod.rs
+++ b/crates/guavawell-core/tests/budget_search/world/mod.rs
@@ -15,7 +15,7 @@
 use guavawell_core::budget::BudgetRow;
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -75,8 +75,8 @@
     }
 }
 
-fn life(node: usize, incarnation: u64) -> InstanceLife {
-    InstanceLife {
+fn life(node: usize, incarnation: u64) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: ["a", "b", "c"][node].parse().unwrap(),
         incarnation: IncarnationId::new(incarnation),
     }
@@ -97,7 +97,7 @@
     (request, attempt)
 }
 
-fn new_witness(life: &InstanceLife) -> SlotWitness {
+fn new_witness(life: &InstanceIncarnation) -> SlotWitness {
     SlotWitness::new(life.clone(), slot(), ClockSpan::from_millis(0))
 }
 
--- a/crates/guavawell-core/tests/budget_search/world/model.rs
+++ b/crates/guavawell-core/tests/budget_search/world/model.rs
@@ -3,7 +3,7 @@
 use std::hash::Hash;
 
 use guavawell_core::budget::GrantView;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReserveGrant;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotRow;
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Letter {
     pub node: usize,
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     pub body: LetterBody,
 }
 
@@ -69,7 +69,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     pub holders: Vec<SlotHolder>,
     pub witness: SlotWitness,
     /// The witness as it was before a takeover; used by planted faults.
--- a/crates/guavawell-core/tests/budget_search/world/step.rs
+++ b/crates/guavawell-core/tests/budget_search/world/step.rs
@@ -2,9 +2,9 @@
 
 use guavawell_core::budget::AskId;
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::ReleaseAsk;
-use guavawell_core::budget::ReserveAsk;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::ReleaseRequest;
+use guavawell_core::budget::ReserveRequest;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::WitnessEvent;
@@ -154,7 +154,7 @@
 
     pub(super) fn ask(&mut self, node: usize, request: usize, attempt: u8) {
         let ask = AskId::new(request as u64 * 16 + u64::from(attempt));
-        let reserve = ReserveAsk {
+        let reserve = ReserveRequest {
             identity: identity(request),
             attempt: attempt_id(request, attempt),
             budget: "m".parse().unwrap(),
@@ -190,7 +190,7 @@
         granted.release = ReleaseState::Asked;
         let attempt = attempt_id(granted.request, granted.attempt);
         let ask = AskId::new(RELEASE_ASKS + u64::try_from(attempt.get()).unwrap());
-        let release = ReleaseAsk {
+        let release = ReleaseRequest {
             identity: identity(granted.request),
             attempt,
             before: None,
@@ -204,7 +204,7 @@
     fn settle(&mut self, place: usize) {
         let granted = self.granted[place].clone();
         self.granted[place].charged = Some(ACTUAL);
-        let settle = SettleAsk {
+        let settle = SettleRequest {
             identity: identity(granted.request),
             attempt: attempt_id(granted.request, granted.attempt),
             grant: granted.grant.clone(),
--- a/crates/guavawell-core/tests/budget_search/world/table.rs
+++ b/crates/guavawell-core/tests/budget_search/world/table.rs
@@ -1,6 +1,6 @@
 //! The platform's table: one transaction for each intent.
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::RowChange;
 use guavawell_core::budget::TableFailure;
 use guavawell_core::budget::TableIntent;
@@ -15,7 +15,7 @@
     pub(super) fn execute(
         &mut self,
         node: usize,
-        life: InstanceLife,
+        life: InstanceIncarnation,
         tenure: SlotEpoch,
         intent: &TableIntent,
     ) {
--- a/crates/guavawell-core/tests/budget_slots.rs
+++ b/crates/guavawell-core/tests/budget_slots.rs
@@ -7,14 +7,14 @@
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
@@ -48,7 +48,7 @@
     attempt: u128,
     amount: u64,
 ) -> ReserveAnswer {
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         identity: identity(request),
         attempt: AttemptId::new(attempt),
         budget: "m".parse().unwrap(),
@@ -89,7 +89,7 @@
     grant: &ReserveGrant,
     actual: u64,
 ) -> SettleAnswer {
-    let ask = SettleAsk {
+    let ask = SettleRequest {
         identity: identity(request),
         attempt: AttemptId::new(attempt),
         grant: grant.clone(),
@@ -133,14 +133,14 @@
 #[test]
 fn a_sealed_request_is_never_granted() {
     let mut fleet = fleet(1, 1_000, 0);
-    let seal = SealAsk {
+    let seal = SealRequest {
         identity: identity(1),
     };
     fleet.ask(0, None, HolderEvent::Seal(ASK, seal.clone()));
     assert_eq!(answer(&mut fleet), HolderAnswer::Seal(SealAnswer::Sealed));
     assert_eq!(reserve(&mut fleet, 0, 1, 1, 100), ReserveAnswer::Sealed);
     granted(reserve(&mut fleet, 0, 2, 2, 100));
-    let running = SealAsk {
+    let running = SealRequest {
         identity: identity(2),
     };
     fleet.ask(0, None, HolderEvent::Seal(ASK, running));
@@ -161,7 +161,7 @@
             ..
         }
     ));
-    let release = ReleaseAsk {
+    let release = ReleaseRequest {
         identity: identity(1),
         attempt: AttemptId::new(1),
         before: None,
@@ -255,7 +255,7 @@
     assert!(matches!(joined, ReserveAnswer::Joined { attempt, .. } if attempt.get() == 1));
     let exhausted = reserve(&mut fleet, 0, 2, 3, 1);
     assert!(matches!(exhausted, ReserveAnswer::Exhausted { .. }));
-    let late = SettleAsk {
+    let late = SettleRequest {
         identity: identity(1),
         attempt: AttemptId::new(1),
         grant,
@@ -275,7 +275,7 @@
         tenure: grant.tenure.next().next(),
         ..grant.clone()
     };
-    let unheard = SettleAsk {
+    let unheard = SettleRequest {
         identity: identity(2),
         attempt: AttemptId::new(2),
         grant: later.clone(),
@@ -287,7 +287,7 @@
         panic!("a charge under a later tenure is not this holder's to disown");
     };
     assert_eq!(holder, Some(later.holder));
-    let unknown = SettleAsk { grant, ..unheard };
+    let unknown = SettleRequest { grant, ..unheard };
     fleet.ask_present(0, HolderEvent::Settle(ASK, unknown));
     let told = HolderAnswer::Settle(SettleAnswer::Unknown);
     assert_eq!(answer(&mut fleet), told);
--- a/crates/guavawell-core/tests/claims/world.rs
+++ b/crates/guavawell-core/tests/claims/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::ClaimGeneration;
@@ -87,7 +87,7 @@
 
 fn step(goal: ClaimGoal, attempt: u8, begun: u64) -> ClaimStep {
     let organisation = "o".parse().unwrap();
-    let life = InstanceLife {
+    let life = InstanceIncarnation {
         instance: "r".parse().unwrap(),
         incarnation: IncarnationId::new(u64::from(attempt)),
     };
--- a/crates/guavawell-ctl/tests/ctl/audit.rs
+++ b/crates/guavawell-ctl/tests/ctl/audit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use guavawell_core::budget::BudgetRow;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::shard_of;
@@ -32,8 +32,8 @@
     "desk".parse().expect("a good id")
 }
 
-fn router() -> InstanceLife {
-    InstanceLife {
+fn router() -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: "entry-1".parse().expect("a good id"),
         incarnation: IncarnationId::new(7),
     }
--- a/crates/guavawell-demo/benches/capacity/holder.rs
+++ b/crates/guavawell-demo/benches/capacity/holder.rs
@@ -5,8 +5,8 @@
 
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::ReleaseAsk;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::ReleaseRequest;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::SlotWitness;
 use guavawell_core::budget::WitnessEvent;
@@ -92,13 +92,13 @@
         for number in 0..CHUNK {
             let identity = identity(first + number as u64, 0);
             let ask = rig.next_ask();
-            rig.tell(HolderEvent::Seal(ask, SealAsk { identity }));
+            rig.tell(HolderEvent::Seal(ask, SealRequest { identity }));
         }
     });
     let releases = time_of(|| {
         for number in 0..CHUNK {
             let request = 2 * first + number as u64;
-            let release = ReleaseAsk {
+            let release = ReleaseRequest {
                 identity: identity(request, 0),
                 attempt: AttemptId::new(u128::from(request)),
                 before: None,
--- a/crates/guavawell-demo/benches/capacity/platform.rs
+++ b/crates/guavawell-demo/benches/capacity/platform.rs
@@ -10,7 +10,7 @@
 
 use guavawell_core::budget::FormerUse;
 use guavawell_core::budget::GrantChange;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotRow;
 use guavawell_core::budget::TokenPool;
@@ -166,8 +166,8 @@
     }
 }
 
-fn holder(zone: usize) -> InstanceLife {
-    InstanceLife {
+fn holder(zone: usize) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: format!("router-{zone}-17").parse().expect("a good id"),
         incarnation: IncarnationId::new(0x1234_5678_9abc),
     }
--- a/crates/guavawell-demo/benches/capacity/wire.rs
+++ b/crates/guavawell-demo/benches/capacity/wire.rs
@@ -17,7 +17,7 @@
 use guavawell_core::budget::ReserveAnswer;
 use guavawell_core::budget::ReserveGrant;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::WitnessAck;
 use guavawell_core::budget::WitnessMessage;
@@ -123,9 +123,9 @@
     kept.collect()
 }
 
-fn settle_ask(number: u64) -> SettleAsk {
+fn settle_ask(number: u64) -> SettleRequest {
     let reserve = reserve_ask(number, 0);
-    SettleAsk {
+    SettleRequest {
         identity: reserve.identity,
         attempt: reserve.attempt,
         grant: grant(),
--- a/crates/guavawell-demo/tests/peer.rs
+++ b/crates/guavawell-demo/tests/peer.rs
@@ -1,8 +1,8 @@
 //! Asks about slots from a router that the fleet's gossip does not know.
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::shard_of;
 use guavawell_core::id::AttemptId;
@@ -25,8 +25,8 @@
 
 const SHARDS: u16 = 8;
 
-fn stranger() -> InstanceLife {
-    InstanceLife {
+fn stranger() -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: "stranger".parse().expect("a good id"),
         incarnation: IncarnationId::new(1),
     }
@@ -51,7 +51,7 @@
         zone: "zone-1".parse().expect("a good id"),
         shard,
     };
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         identity: RequestIdentity::from_caller(organisation, "k").expect("a good id"),
         attempt: AttemptId::new(1),
         budget: "budget-0".parse().expect("a good id"),
--- a/crates/guavawell-demo/tests/tls.rs
+++ b/crates/guavawell-demo/tests/tls.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::IncarnationId;
 use guavawell_demo::fleet::DemoFleet;
 use guavawell_demo::fleet::FleetSettings;
@@ -134,7 +134,7 @@
 
 /// A peer without a certificate, asking for no more than a sign of life.
 async fn ask_as_plain_peer(address: SocketAddr) -> Result<(), PeerError> {
-    let life = InstanceLife {
+    let life = InstanceIncarnation {
         instance: "stranger".parse().expect("a good id"),
         incarnation: IncarnationId::new(1),
     };
--- a/crates/guavawell-fleet/examples/peer_cost.rs
+++ b/crates/guavawell-fleet/examples/peer_cost.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::clock::ClockSpan;
@@ -265,7 +265,7 @@
         zone: "tln".parse().unwrap(),
         shard: ShardId::new(3),
     };
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         identity: RequestIdentity {
             organisation: "kivisild-desk".parse().unwrap(),
             request: request.parse().unwrap(),
@@ -314,8 +314,8 @@
     ticks / TICKS_A_SECOND
 }
 
-fn life(instance: &str) -> InstanceLife {
-    InstanceLife {
+fn life(instance: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: instance.parse().unwrap(),
         incarnation: IncarnationId::new(1),
     }
--- a/crates/guavawell-fleet/examples/platform_writes.rs
+++ b/crates/guavawell-fleet/examples/platform_writes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::shard_of;
@@ -109,7 +109,7 @@
         delay_ms: Some(PLATFORM_MS),
         ..FaultChange::default()
     });
-    let life = InstanceLife {
+    let life = InstanceIncarnation {
         instance: "tln-a-1".parse().expect("an id"),
         incarnation: IncarnationId::new(1),
     };
--- a/crates/guavawell-fleet/examples/retention_cost.rs
+++ b/crates/guavawell-fleet/examples/retention_cost.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::IncarnationId;
 use guavawell_core::platform::WriteClass;
@@ -50,7 +50,7 @@
 /// Writes of the claims themselves, one at a time and 64 at once.
 async fn claims() {
     let (platform, table) = start().await;
-    let life = InstanceLife {
+    let life = InstanceIncarnation {
         instance: "tln-a-1".parse().expect("an id"),
         incarnation: IncarnationId::new(1),
     };
--- a/crates/guavawell-fleet/src/claim/driver.rs
+++ b/crates/guavawell-fleet/src/claim/driver.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::ClaimGeneration;
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug)]
 pub struct ClaimDriver {
     table: Table,
-    router: InstanceLife,
+    router: InstanceIncarnation,
     queue: Sender<QueuedWrite>,
     book: GenerationBook,
     backoff: BackoffPolicy,
@@ -94,7 +94,7 @@
 impl ClaimDriver {
     /// Starts the task that writes the claims of `router`.
     #[must_use]
-    pub fn start(table: Table, router: InstanceLife, settings: BatchSettings) -> Self {
+    pub fn start(table: Table, router: InstanceIncarnation, settings: BatchSettings) -> Self {
         let (queue, writes) = channel::bounded(QUEUE_LENGTH);
         let book = GenerationBook::default();
         let batches = write_batches(table.clone(), settings, writes, book.clone());
--- a/crates/guavawell-fleet/src/journal/driver.rs
+++ b/crates/guavawell-fleet/src/journal/driver.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::platform::BackoffPolicy;
@@ -70,7 +70,7 @@
     /// crash. It tells `on_durable` the records that may be forgotten.
     pub fn prepare(
         objects: Objects,
-        router: InstanceLife,
+        router: InstanceIncarnation,
         settings: JournalSettings,
         on_durable: impl FnMut(Vec<BillingRecord>) + Send + 'static,
     ) -> (Self, impl Future<Output = ()> + Send + 'static) {
@@ -105,7 +105,7 @@
     #[must_use]
     pub fn start(
         objects: Objects,
-        router: InstanceLife,
+        router: InstanceIncarnation,
         settings: JournalSettings,
         on_durable: impl FnMut(Vec<BillingRecord>) + Send + 'static,
     ) -> Self {
@@ -152,7 +152,7 @@
 
 struct JournalWriter<F> {
     objects: Objects,
-    router: InstanceLife,
+    router: InstanceIncarnation,
     settings: JournalSettings,
     /// Sorted by slot.
     buffers: Vec<JournalBuffer>,
--- a/crates/guavawell-fleet/src/journal/fold.rs
+++ b/crates/guavawell-fleet/src/journal/fold.rs
@@ -5,7 +5,7 @@
 //! round costs a listing for each writer and page of new names, and a read for
 //! each new segment.
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct WriterMark {
     slot: SlotId,
-    router: InstanceLife,
+    router: InstanceIncarnation,
     last: SegmentName,
 }
 
--- a/crates/guavawell-fleet/src/peer/client/greet.rs
+++ b/crates/guavawell-fleet/src/peer/client/greet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use capnp_rpc::rpc_twoparty_capnp::Side;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::InstanceId;
 use smol::Timer;
 use smol::future;
@@ -28,7 +28,7 @@
 /// A greeted peer.
 pub struct GreetedPeer {
     /// Its life.
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     /// What calls go to.
     pub session: peer_session::Client,
     /// The connection; dropping it closes it.
@@ -99,7 +99,7 @@
     settings: &PeerClientSettings,
     peer: &peer::Client,
     sink: answer_sink::Client,
-) -> Result<(InstanceLife, peer_session::Client), WireError> {
+) -> Result<(InstanceIncarnation, peer_session::Client), WireError> {
     let lamport = settings.log.lamport();
     let mut request = peer.greet_request();
     let mut greeting = request.get().init_greeting();
--- a/crates/guavawell-fleet/src/peer/client/link.rs
+++ b/crates/guavawell-fleet/src/peer/client/link.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use smol::Timer;
 use smol::channel;
 use smol::channel::Receiver;
@@ -40,7 +40,7 @@
 
 /// An established connection.
 pub struct PeerLink {
-    life: InstanceLife,
+    life: InstanceIncarnation,
     session: peer_session::Client,
     rpc: RunningRpc,
     book: Rc<AnswerBook>,
@@ -87,7 +87,7 @@
     }
 
     /// The life that the peer greeted with.
-    pub const fn life(&self) -> &InstanceLife {
+    pub const fn life(&self) -> &InstanceIncarnation {
         &self.life
     }
 
--- a/crates/guavawell-fleet/src/peer/client/mod.rs
+++ b/crates/guavawell-fleet/src/peer/client/mod.rs
@@ -16,7 +16,7 @@
 use std::thread::JoinHandle;
 
 use futures::channel::oneshot;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::LedgerHandover;
 use guavawell_core::budget::WitnessMessage;
 use guavawell_core::id::IncarnationId;
@@ -52,7 +52,7 @@
     /// The settings of the group `peers`.
     pub peers: PeerSettings,
     /// This process.
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     /// Its certificate and key; absent where the settings say
     /// `plain_loopback`.
     pub tls: Option<Arc<ClientTls>>,
--- a/crates/guavawell-fleet/src/peer/message.rs
+++ b/crates/guavawell-fleet/src/peer/message.rs
@@ -1,21 +1,21 @@
 //! What routers ask of each other and answer.
 
-use guavawell_core::budget::BackendNote;
+use guavawell_core::budget::BackendAssignment;
 use guavawell_core::budget::HandBackAnswer;
-use guavawell_core::budget::HandBackAsk;
+use guavawell_core::budget::HandBackRequest;
 use guavawell_core::budget::HandoverAck;
+use guavawell_core::budget::IncarnationAnswer;
 use guavawell_core::budget::LedgerHandover;
-use guavawell_core::budget::LifeAnswer;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotId;
-use guavawell_core::budget::TakeoverAsk;
+use guavawell_core::budget::TakeoverRequest;
 use guavawell_core::budget::WitnessAck;
 use guavawell_core::budget::WitnessMessage;
 use guavawell_core::budget::WitnessRefusal;
@@ -50,21 +50,21 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
     /// To a slot's holder: reserve an attempt's worst case.
-    Reserve(SlotAsk<ReserveAsk>),
+    Reserve(SlotAsk<ReserveRequest>),
     /// To a slot's holder: charge an attempt.
-    Settle(SlotAsk<SettleAsk>),
+    Settle(SlotAsk<SettleRequest>),
     /// To a slot's holder: give a reservation back.
-    Release(SlotAsk<ReleaseAsk>),
+    Release(SlotAsk<ReleaseRequest>),
     /// To a slot's holder: this backend server runs the attempt.
-    Note(SlotAsk<BackendNote>),
+    Note(SlotAsk<BackendAssignment>),
     /// To a slot's holder: let the request run no more.
-    Seal(SlotAsk<SealAsk>),
+    Seal(SlotAsk<SealRequest>),
     /// To a slot's holder: give unspent tokens back.
-    HandBack(HandBackAsk),
+    HandBack(HandBackRequest),
     /// Between a slot's holder and its witness.
     Witness(WitnessMessage),
     /// To a slot's witness: take the slot over.
-    Takeover(TakeoverAsk),
+    Takeover(TakeoverRequest),
     /// To any router: tell your incarnation.
     Life,
     /// To any router: tell the manifest version that you have in force.
@@ -95,7 +95,7 @@
     /// To a handover: the witness holds the ledger.
     HandoverAck(HandoverAck),
     /// To [`PeerRequest::Life`].
-    Life(LifeAnswer),
+    Life(IncarnationAnswer),
     /// To [`PeerRequest::Version`]: the version's row, if one is in force.
     Version(Option<VersionRow>),
     /// To [`PeerRequest::Pages`]: the bytes of pages, in any order.
--- a/crates/guavawell-fleet/src/peer/server/mod.rs
+++ b/crates/guavawell-fleet/src/peer/server/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::AtomicU32;
 use std::thread::JoinHandle;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use smol::channel;
 use smol::channel::Sender;
 
@@ -32,7 +32,7 @@
     /// The settings of the group `peers`.
     pub peers: PeerSettings,
     /// This process.
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     /// Its certificate and key; absent where the settings say
     /// `plain_loopback`.
     pub tls: Option<Arc<ServerTls>>,
@@ -45,7 +45,7 @@
 pub struct PeerCall {
     /// The caller: the instance that its certificate proves, and the life
     /// that it greeted with.
-    pub from: InstanceLife,
+    pub from: InstanceIncarnation,
     /// What it asks.
     pub request: PeerRequest,
 }
--- a/crates/guavawell-fleet/src/peer/server/session.rs
+++ b/crates/guavawell-fleet/src/peer/server/session.rs
@@ -11,7 +11,7 @@
 
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 
 use super::PeerCall;
 use super::PeerServerSettings;
@@ -72,7 +72,7 @@
         self.greeted.get()
     }
 
-    fn admit(&self, life: &InstanceLife) -> Result<(), capnp::Error> {
+    fn admit(&self, life: &InstanceIncarnation) -> Result<(), capnp::Error> {
         if self.greeted.replace(true) {
             return Err(capnp::Error::failed("greeted before".to_owned()));
         }
@@ -129,7 +129,7 @@
 /// A peer that was let in.
 struct PeerSession<H> {
     context: Rc<SessionContext<H>>,
-    from: InstanceLife,
+    from: InstanceIncarnation,
     assembly: RefCell<PieceAssembly>,
     running: Cell<u32>,
     outbox: Rc<AnswerOutbox>,
--- a/crates/guavawell-fleet/src/peer/tests.rs
+++ b/crates/guavawell-fleet/src/peer/tests.rs
@@ -7,15 +7,15 @@
 use std::thread;
 
 use guavawell_core::budget::HandBackAnswer;
-use guavawell_core::budget::HandBackAsk;
+use guavawell_core::budget::HandBackRequest;
 use guavawell_core::budget::HandoverAck;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::IncarnationAnswer;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::LedgerEntry;
 use guavawell_core::budget::LedgerHandover;
-use guavawell_core::budget::LifeAnswer;
 use guavawell_core::budget::RecordStamp;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::WitnessMessage;
@@ -54,8 +54,8 @@
 /// A span that tests wait for.
 const SHORT: ClockSpan = ClockSpan::from_millis(300);
 
-fn life(instance: &str) -> InstanceLife {
-    InstanceLife {
+fn life(instance: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: instance.parse().unwrap(),
         incarnation: IncarnationId::new(7),
     }
@@ -101,7 +101,7 @@
 }
 
 fn hand_back(number: u64) -> PeerRequest {
-    PeerRequest::HandBack(HandBackAsk {
+    PeerRequest::HandBack(HandBackRequest {
         slot: slot(),
         budget: "b-1".parse().unwrap(),
         wanted: TokenCount::new(number),
@@ -120,7 +120,7 @@
         shard: ShardId::new(3),
     };
     let identity = identity(0);
-    PeerRequest::Seal(SlotAsk::new(slot, SealAsk { identity }))
+    PeerRequest::Seal(SlotAsk::new(slot, SealRequest { identity }))
 }
 
 fn identity(number: u64) -> RequestIdentity {
@@ -216,7 +216,7 @@
                 let _ = self.go.recv().await;
                 PeerReply::Seal(SealAnswer::Sealed)
             }
-            PeerRequest::Life => PeerReply::Life(LifeAnswer {
+            PeerRequest::Life => PeerReply::Life(IncarnationAnswer {
                 incarnation: call.from.incarnation,
             }),
             PeerRequest::Witness(WitnessMessage::Handover(handover)) => {
@@ -266,7 +266,10 @@
     let (server, client, _control) = start_plain(settings());
     let reply = call(&client, &target(server.address()), PeerRequest::Life);
     let incarnation = IncarnationId::new(7);
-    assert_eq!(reply, Ok(PeerReply::Life(LifeAnswer { incarnation })));
+    assert_eq!(
+        reply,
+        Ok(PeerReply::Life(IncarnationAnswer { incarnation }))
+    );
 }
 
 #[test]
--- a/crates/guavawell-fleet/src/peer/wire/answer.rs
+++ b/crates/guavawell-fleet/src/peer/wire/answer.rs
@@ -1,8 +1,8 @@
 //! Replies.
 
 use guavawell_core::budget::HandBackAnswer;
-use guavawell_core::budget::InstanceLife;
-use guavawell_core::budget::LifeAnswer;
+use guavawell_core::budget::IncarnationAnswer;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReleaseAnswer;
 use guavawell_core::budget::ReserveAnswer;
 use guavawell_core::budget::SealAnswer;
@@ -181,7 +181,7 @@
         answer::Which::HandoverAck(ack) => {
             PeerReply::HandoverAck(witness::read_handover_ack(ack?)?)
         }
-        answer::Which::Life(incarnation) => PeerReply::Life(LifeAnswer {
+        answer::Which::Life(incarnation) => PeerReply::Life(IncarnationAnswer {
             incarnation: IncarnationId::new(incarnation),
         }),
         answer::Which::Version(row) => PeerReply::Version(page::read_version(row?)?),
@@ -202,14 +202,14 @@
 }
 
 /// Writes a holder that may be unknown: a life without an instance is none.
-fn write_holder(builder: life::Builder<'_>, holder: Option<&InstanceLife>) {
+fn write_holder(builder: life::Builder<'_>, holder: Option<&InstanceIncarnation>) {
     if let Some(holder) = holder {
         write_life(builder, holder);
     }
 }
 
 /// Reads what [`write_holder`] wrote.
-fn read_holder(reader: life::Reader<'_>) -> Result<Option<InstanceLife>, WireError> {
+fn read_holder(reader: life::Reader<'_>) -> Result<Option<InstanceIncarnation>, WireError> {
     if reader.has_instance() {
         read_life(reader).map(Some)
     } else {
--- a/crates/guavawell-fleet/src/peer/wire/ask.rs
+++ b/crates/guavawell-fleet/src/peer/wire/ask.rs
@@ -1,12 +1,12 @@
 //! Requests.
 
-use guavawell_core::budget::BackendNote;
-use guavawell_core::budget::HandBackAsk;
-use guavawell_core::budget::ReleaseAsk;
-use guavawell_core::budget::ReserveAsk;
-use guavawell_core::budget::SealAsk;
-use guavawell_core::budget::SettleAsk;
-use guavawell_core::budget::TakeoverAsk;
+use guavawell_core::budget::BackendAssignment;
+use guavawell_core::budget::HandBackRequest;
+use guavawell_core::budget::ReleaseRequest;
+use guavawell_core::budget::ReserveRequest;
+use guavawell_core::budget::SealRequest;
+use guavawell_core::budget::SettleRequest;
+use guavawell_core::budget::TakeoverRequest;
 use guavawell_core::budget::WitnessMessage;
 use guavawell_core::id::SlotEpoch;
 use guavawell_core::id::TokenCount;
@@ -90,7 +90,7 @@
     }
 }
 
-fn write_reserve(mut builder: reserve_ask::Builder<'_>, ask: &ReserveAsk) {
+fn write_reserve(mut builder: reserve_ask::Builder<'_>, ask: &ReserveRequest) {
     write_identity(builder.reborrow().init_identity(), &ask.identity);
     write_attempt(builder.reborrow().init_attempt(), ask.attempt);
     builder.set_budget(ask.budget.as_str());
@@ -100,7 +100,7 @@
     builder.set_digest(ask.digest.get());
 }
 
-fn write_settle(mut builder: settle_ask::Builder<'_>, ask: &SettleAsk) {
+fn write_settle(mut builder: settle_ask::Builder<'_>, ask: &SettleRequest) {
     write_identity(builder.reborrow().init_identity(), &ask.identity);
     write_attempt(builder.reborrow().init_attempt(), ask.attempt);
     write_grant(builder.reborrow().init_grant(), &ask.grant);
@@ -108,25 +108,25 @@
     builder.set_backend(backend_text(ask.backend.as_ref()));
 }
 
-fn write_release(mut builder: release_ask::Builder<'_>, ask: &ReleaseAsk) {
+fn write_release(mut builder: release_ask::Builder<'_>, ask: &ReleaseRequest) {
     write_identity(builder.reborrow().init_identity(), &ask.identity);
     write_attempt(builder.reborrow().init_attempt(), ask.attempt);
     builder.set_before(ask.before.map_or(0, SlotEpoch::get));
 }
 
-fn write_note(mut builder: backend_note::Builder<'_>, note: &BackendNote) {
+fn write_note(mut builder: backend_note::Builder<'_>, note: &BackendAssignment) {
     write_identity(builder.reborrow().init_identity(), &note.identity);
     write_attempt(builder.reborrow().init_attempt(), note.attempt);
     builder.set_backend(note.backend.as_str());
 }
 
-fn write_hand_back(mut builder: hand_back_ask::Builder<'_>, ask: &HandBackAsk) {
+fn write_hand_back(mut builder: hand_back_ask::Builder<'_>, ask: &HandBackRequest) {
     write_slot(builder.reborrow().init_slot(), &ask.slot);
     builder.set_budget(ask.budget.as_str());
     builder.set_wanted(ask.wanted.get());
 }
 
-fn write_takeover(mut builder: takeover_ask::Builder<'_>, ask: &TakeoverAsk) {
+fn write_takeover(mut builder: takeover_ask::Builder<'_>, ask: &TakeoverRequest) {
     write_slot(builder.reborrow().init_slot(), &ask.slot);
     write_row(builder.init_row(), &ask.row);
 }
@@ -157,7 +157,7 @@
         ask::Which::Note(note) => PeerRequest::Note(SlotAsk::new(slot()?, read_note(note?)?)),
         ask::Which::Seal(identity) => {
             let identity = read_identity(identity?)?;
-            PeerRequest::Seal(SlotAsk::new(slot()?, SealAsk { identity }))
+            PeerRequest::Seal(SlotAsk::new(slot()?, SealRequest { identity }))
         }
         ask::Which::HandBack(ask) => PeerRequest::HandBack(read_hand_back(ask?)?),
         ask::Which::Record(record) => {
@@ -183,8 +183,8 @@
     Ok(WireAsk::Request(Box::new(request)))
 }
 
-fn read_reserve(reader: reserve_ask::Reader<'_>) -> Result<ReserveAsk, WireError> {
-    Ok(ReserveAsk {
+fn read_reserve(reader: reserve_ask::Reader<'_>) -> Result<ReserveRequest, WireError> {
+    Ok(ReserveRequest {
         identity: read_identity(reader.get_identity()?)?,
         attempt: read_attempt(reader.get_attempt()?),
         budget: read_id(reader.get_budget())?,
@@ -195,8 +195,8 @@
     })
 }
 
-fn read_settle(reader: settle_ask::Reader<'_>) -> Result<SettleAsk, WireError> {
-    Ok(SettleAsk {
+fn read_settle(reader: settle_ask::Reader<'_>) -> Result<SettleRequest, WireError> {
+    Ok(SettleRequest {
         identity: read_identity(reader.get_identity()?)?,
         attempt: read_attempt(reader.get_attempt()?),
         grant: read_grant(reader.get_grant()?)?,
@@ -205,8 +205,8 @@
     })
 }
 
-fn read_release(reader: release_ask::Reader<'_>) -> Result<ReleaseAsk, WireError> {
-    Ok(ReleaseAsk {
+fn read_release(reader: release_ask::Reader<'_>) -> Result<ReleaseRequest, WireError> {
+    Ok(ReleaseRequest {
         identity: read_identity(reader.get_identity()?)?,
         attempt: read_attempt(reader.get_attempt()?),
         before: Some(reader.get_before())
@@ -215,24 +215,24 @@
     })
 }
 
-fn read_note(reader: backend_note::Reader<'_>) -> Result<BackendNote, WireError> {
-    Ok(BackendNote {
+fn read_note(reader: backend_note::Reader<'_>) -> Result<BackendAssignment, WireError> {
+    Ok(BackendAssignment {
         identity: read_identity(reader.get_identity()?)?,
         attempt: read_attempt(reader.get_attempt()?),
         backend: read_id(reader.get_backend())?,
     })
 }
 
-fn read_hand_back(reader: hand_back_ask::Reader<'_>) -> Result<HandBackAsk, WireError> {
-    Ok(HandBackAsk {
+fn read_hand_back(reader: hand_back_ask::Reader<'_>) -> Result<HandBackRequest, WireError> {
+    Ok(HandBackRequest {
         slot: read_slot(reader.get_slot()?)?,
         budget: read_id(reader.get_budget())?,
         wanted: TokenCount::new(reader.get_wanted()),
     })
 }
 
-fn read_takeover(reader: takeover_ask::Reader<'_>) -> Result<TakeoverAsk, WireError> {
-    Ok(TakeoverAsk {
+fn read_takeover(reader: takeover_ask::Reader<'_>) -> Result<TakeoverRequest, WireError> {
+    Ok(TakeoverRequest {
         slot: read_slot(reader.get_slot()?)?,
         row: read_row(reader.get_row()?)?,
     })
--- a/crates/guavawell-fleet/src/peer/wire/tests.rs
+++ b/crates/guavawell-fleet/src/peer/wire/tests.rs
@@ -1,26 +1,26 @@
-use guavawell_core::budget::BackendNote;
+use guavawell_core::budget::BackendAssignment;
 use guavawell_core::budget::HandBackAnswer;
-use guavawell_core::budget::HandBackAsk;
+use guavawell_core::budget::HandBackRequest;
 use guavawell_core::budget::HandoverAck;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::IncarnationAnswer;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::LedgerEntry;
 use guavawell_core::budget::LedgerHandover;
-use guavawell_core::budget::LifeAnswer;
 use guavawell_core::budget::RecordStamp;
 use guavawell_core::budget::RefusalReason;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::SlotRow;
-use guavawell_core::budget::TakeoverAsk;
+use guavawell_core::budget::TakeoverRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::WitnessAck;
 use guavawell_core::budget::WitnessMessage;
@@ -74,8 +74,8 @@
     proposal.on_top_of(None).unwrap()
 }
 
-fn life(instance: &str) -> InstanceLife {
-    InstanceLife {
+fn life(instance: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: instance.parse().unwrap(),
         incarnation: IncarnationId::new(u64::MAX - 1),
     }
@@ -118,7 +118,7 @@
     }
 }
 
-fn row(witness: Option<InstanceLife>) -> SlotRow {
+fn row(witness: Option<InstanceIncarnation>) -> SlotRow {
     SlotRow {
         holder: life("tln-a-1"),
         witness,
@@ -216,7 +216,7 @@
     let reserve = |idempotent| {
         PeerRequest::Reserve(SlotAsk::new(
             slot(),
-            ReserveAsk {
+            ReserveRequest {
                 identity: identity(),
                 attempt: ATTEMPT,
                 budget: "b-1".parse().unwrap(),
@@ -230,7 +230,7 @@
     let settle = |pool, backend| {
         PeerRequest::Settle(SlotAsk::new(
             slot(),
-            SettleAsk {
+            SettleRequest {
                 identity: identity(),
                 attempt: ATTEMPT,
                 grant: grant(pool),
@@ -240,7 +240,7 @@
         ))
     };
     let takeover = |witness| {
-        PeerRequest::Takeover(TakeoverAsk {
+        PeerRequest::Takeover(TakeoverRequest {
             slot: slot(),
             row: row(witness),
         })
@@ -252,7 +252,7 @@
         settle(TokenPool::Float, Some(backend())),
         PeerRequest::Release(SlotAsk::new(
             slot(),
-            ReleaseAsk {
+            ReleaseRequest {
                 identity: identity(),
                 attempt: ATTEMPT,
                 before: None,
@@ -260,7 +260,7 @@
         )),
         PeerRequest::Note(SlotAsk::new(
             slot(),
-            BackendNote {
+            BackendAssignment {
                 identity: identity(),
                 attempt: ATTEMPT,
                 backend: backend(),
@@ -268,11 +268,11 @@
         )),
         PeerRequest::Seal(SlotAsk::new(
             slot(),
-            SealAsk {
+            SealRequest {
                 identity: identity(),
             },
         )),
-        PeerRequest::HandBack(HandBackAsk {
+        PeerRequest::HandBack(HandBackRequest {
             slot: slot(),
             budget: "b-1".parse().unwrap(),
             wanted: TOKENS,
@@ -364,7 +364,7 @@
         PeerReply::HandBack(HandBackAnswer::NotHolder {
             holder: Some(life("kei-1-1")),
         }),
-        PeerReply::Life(LifeAnswer {
+        PeerReply::Life(IncarnationAnswer {
             incarnation: IncarnationId::new(5),
         }),
         PeerReply::Version(None),
--- a/crates/guavawell-fleet/src/peer/wire/value.rs
+++ b/crates/guavawell-fleet/src/peer/wire/value.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 use capnp::text;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::RecordStamp;
 use guavawell_core::budget::ReserveGrant;
 use guavawell_core::budget::SlotId;
@@ -55,13 +55,13 @@
     read_id(Ok(text)).map(Some)
 }
 
-pub fn write_life(mut builder: life::Builder<'_>, life: &InstanceLife) {
+pub fn write_life(mut builder: life::Builder<'_>, life: &InstanceIncarnation) {
     builder.set_instance(life.instance.as_str());
     builder.set_incarnation(life.incarnation.get());
 }
 
-pub fn read_life(reader: life::Reader<'_>) -> Result<InstanceLife, WireError> {
-    Ok(InstanceLife {
+pub fn read_life(reader: life::Reader<'_>) -> Result<InstanceIncarnation, WireError> {
+    Ok(InstanceIncarnation {
         instance: read_id(reader.get_instance())?,
         incarnation: IncarnationId::new(reader.get_incarnation()),
     })
--- a/crates/guavawell-fleet/src/router/background.rs
+++ b/crates/guavawell-fleet/src/router/background.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use guavawell_core::backend::RouteTarget;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::ManifestVersion;
 use guavawell_core::instance::ListedInstance;
 use guavawell_core::instance::MemberEffect;
@@ -160,7 +160,7 @@
 #[must_use]
 pub fn own_record(
     settings: &RouterSettings,
-    life: &InstanceLife,
+    life: &InstanceIncarnation,
     callers: SocketAddr,
     peers: SocketAddr,
 ) -> MemberRecord {
--- a/crates/guavawell-fleet/src/router/bill.rs
+++ b/crates/guavawell-fleet/src/router/bill.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::ShardId;
@@ -35,7 +35,7 @@
 pub fn start_journal(
     settings: &RouterSettings,
     objects: Objects,
-    life: &InstanceLife,
+    life: &InstanceIncarnation,
     tasks: &TaskSpawner,
     slots: &SharedParts,
 ) -> JournalDriver {
--- a/crates/guavawell-fleet/src/router/choice.rs
+++ b/crates/guavawell-fleet/src/router/choice.rs
@@ -6,7 +6,7 @@
 use guavawell_core::backend::ChoiceAsk;
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::backend::NoBackend;
-use guavawell_core::budget::BackendNote;
+use guavawell_core::budget::BackendAssignment;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::BackendId;
@@ -79,7 +79,7 @@
             .field("backend", backend)
             .field("idempotent", idempotent),
     );
-    core.slots.note_backend(BackendNote {
+    core.slots.note_backend(BackendAssignment {
         identity: identity.clone(),
         attempt: reservation.attempt,
         backend: backend.clone(),
--- a/crates/guavawell-fleet/src/router/core.rs
+++ b/crates/guavawell-fleet/src/router/core.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use guavawell_core::backend::BackendTable;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::BackendId;
 use guavawell_core::limits::RetryBudget;
@@ -34,7 +34,7 @@
     /// The settings.
     pub settings: RouterSettings,
     /// This router's life.
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     /// The manifest in force, compiled.
     pub view: Arc<ArcSwap<FleetView>>,
     /// Backend servers.
--- a/crates/guavawell-fleet/src/router/hedge.rs
+++ b/crates/guavawell-fleet/src/router/hedge.rs
@@ -13,7 +13,7 @@
 use futures::future::select;
 use guavawell_core::backend::HedgeAsk;
 use guavawell_core::backend::should_hedge;
-use guavawell_core::budget::BackendNote;
+use guavawell_core::budget::BackendAssignment;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::BackendId;
@@ -199,7 +199,7 @@
     if end.is_second {
         metrics::counter!("guavawell_hedges_won_total").increment(1);
         // Another try of the id reads along with the attempt that goes on.
-        run.core.slots.note_backend(BackendNote {
+        run.core.slots.note_backend(BackendAssignment {
             identity: run.entry.head.identity.clone(),
             attempt,
             backend: winner.backend().clone(),
--- a/crates/guavawell-fleet/src/router/orphan.rs
+++ b/crates/guavawell-fleet/src/router/orphan.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use guavawell_core::budget::BackendNote;
-use guavawell_core::budget::HeldAttempt;
+use guavawell_core::budget::BackendAssignment;
+use guavawell_core::budget::ReservedAttempt;
 use guavawell_core::id::TokenCount;
 use guavawell_core::manifest::BackendEntry;
 use guavawell_core::manifest::BackendKind;
@@ -94,7 +94,7 @@
             Ok(ResolvedAttempt::NotRun) => {}
             Ok(other) => {
                 orphan.held.backend = Some(backend.id.clone());
-                core.slots.note_backend(BackendNote {
+                core.slots.note_backend(BackendAssignment {
                     identity: orphan.identity.clone(),
                     attempt,
                     backend: backend.id.clone(),
@@ -132,7 +132,7 @@
     }
 }
 
-fn word_of(backend: &BackendEntry, held: &HeldAttempt, record: &AttemptRecord) -> EngineWord {
+fn word_of(backend: &BackendEntry, held: &ReservedAttempt, record: &AttemptRecord) -> EngineWord {
     let counted = StreamUsage {
         prompt_tokens: record.prompt_tokens,
         completion_tokens: record.completion_tokens,
--- a/crates/guavawell-fleet/src/router/relay.rs
+++ b/crates/guavawell-fleet/src/router/relay.rs
@@ -5,7 +5,7 @@
 
 use guavawell_core::backend::LeaseOutcome;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::id::BackendId;
 use guavawell_core::id::TokenCount;
 use guavawell_core::request::FrameStep;
@@ -253,7 +253,7 @@
     reservation.keep();
     let charge = RunCharge {
         budget: reservation.budget().clone(),
-        ask: SettleAsk {
+        ask: SettleRequest {
             identity: reservation.identity.clone(),
             attempt: reservation.attempt,
             grant: reservation.grant.clone(),
--- a/crates/guavawell-fleet/src/router/reserve.rs
+++ b/crates/guavawell-fleet/src/router/reserve.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use guavawell_core::budget::HeldAttempt;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
+use guavawell_core::budget::ReservedAttempt;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::BackendId;
@@ -83,7 +83,7 @@
         );
         core.doubts.add(OrphanedAttempt {
             identity: self.identity.clone(),
-            held: HeldAttempt {
+            held: ReservedAttempt {
                 attempt: self.attempt,
                 budget: self.budget.clone(),
                 pool: self.grant.pool,
@@ -107,7 +107,7 @@
                     .request(&self.identity.request)
                     .attempt(self.attempt),
             );
-            let ask = ReleaseAsk {
+            let ask = ReleaseRequest {
                 identity: self.identity.clone(),
                 attempt: self.attempt,
                 before: None,
@@ -140,7 +140,7 @@
 ) -> Result<ReservedRequest, Refusal> {
     for _ in 0..MAX_JOIN_LOOKS {
         let attempt = RouterCore::draw_attempt();
-        let ask = ReserveAsk {
+        let ask = ReserveRequest {
             identity: entry.head.identity.clone(),
             attempt,
             budget: entry.budget.clone(),
--- a/crates/guavawell-fleet/src/router/settings.rs
+++ b/crates/guavawell-fleet/src/router/settings.rs
@@ -8,7 +8,7 @@
 use futures::FutureExt;
 use guavawell_core::backend::RoutingSettings;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::BudgetId;
 use guavawell_core::id::InstanceId;
@@ -194,7 +194,7 @@
 )]
 pub fn slot_parts(
     settings: &RouterSettings,
-    life: &InstanceLife,
+    life: &InstanceIncarnation,
     events: &EventLog,
     tasks: TaskSpawner,
     table: &Table,
--- a/crates/guavawell-fleet/src/router/start.rs
+++ b/crates/guavawell-fleet/src/router/start.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use guavawell_core::backend::BackendTable;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::id::ManifestVersion;
 use guavawell_core::instance::MemberRecord;
 use guavawell_core::instance::draw_incarnation;
@@ -144,7 +144,7 @@
         settings: RouterSettings,
         options: RouterOptions,
     ) -> Result<Self, RouterError> {
-        let life = InstanceLife {
+        let life = InstanceIncarnation {
             instance: settings.instance.id.clone(),
             incarnation: draw_incarnation(clock::now(), fastrand::u64(..)),
         };
@@ -392,7 +392,7 @@
 
 fn start_peers(
     settings: &RouterSettings,
-    life: &InstanceLife,
+    life: &InstanceIncarnation,
     events: &EventLog,
     slots: &SharedParts,
     desk: &SharedDesk,
--- a/crates/guavawell-fleet/src/slot/acquire.rs
+++ b/crates/guavawell-fleet/src/slot/acquire.rs
@@ -5,11 +5,11 @@
 
 use std::sync::Arc;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
 use guavawell_core::budget::SlotRow;
-use guavawell_core::budget::TakeoverAsk;
+use guavawell_core::budget::TakeoverRequest;
 use guavawell_core::budget::WitnessEvent;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::ShardId;
@@ -162,8 +162,8 @@
         self.begin(seat, row.clone(), ledger);
     }
 
-    async fn ask_takeover(&self, slot: &SlotId, row: &SlotRow, witness: &InstanceLife) {
-        let ask = TakeoverAsk {
+    async fn ask_takeover(&self, slot: &SlotId, row: &SlotRow, witness: &InstanceIncarnation) {
+        let ask = TakeoverRequest {
             slot: slot.clone(),
             row: row.clone(),
         };
@@ -206,7 +206,7 @@
 
 /// Whether gossip knows this very life as reachable; leaving ones included,
 /// because they hand their slots over themselves.
-pub(super) fn is_alive(members: &MemberView, life: &InstanceLife) -> bool {
+pub(super) fn is_alive(members: &MemberView, life: &InstanceIncarnation) -> bool {
     members.find(&life.instance).is_some_and(|member| {
         member.incarnation == life.incarnation && member.reachability != Reachability::Unreachable
     })
--- a/crates/guavawell-fleet/src/slot/answer.rs
+++ b/crates/guavawell-fleet/src/slot/answer.rs
@@ -6,7 +6,7 @@
 use guavawell_core::budget::HandBackAnswer;
 use guavawell_core::budget::HolderAnswer;
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::LifeAnswer;
+use guavawell_core::budget::IncarnationAnswer;
 use guavawell_core::budget::ReleaseAnswer;
 use guavawell_core::budget::ReserveAnswer;
 use guavawell_core::budget::SealAnswer;
@@ -36,7 +36,7 @@
                 let slot = ask.slot.clone();
                 self.answer_here(&slot, PeerRequest::HandBack(ask)).await
             }
-            PeerRequest::Life => PeerReply::Life(LifeAnswer {
+            PeerRequest::Life => PeerReply::Life(IncarnationAnswer {
                 incarnation: self.parts.life.incarnation,
             }),
             other => match other.slot().cloned() {
--- a/crates/guavawell-fleet/src/slot/directory.rs
+++ b/crates/guavawell-fleet/src/slot/directory.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use arc_swap::ArcSwap;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotRow;
 
@@ -32,7 +32,7 @@
     }
 
     /// The slot's holder as last known.
-    pub(super) fn holder(&self, slot: &SlotId) -> Option<InstanceLife> {
+    pub(super) fn holder(&self, slot: &SlotId) -> Option<InstanceIncarnation> {
         self.row(slot).map(|row| row.holder)
     }
 
--- a/crates/guavawell-fleet/src/slot/driver.rs
+++ b/crates/guavawell-fleet/src/slot/driver.rs
@@ -7,7 +7,7 @@
 use guavawell_core::budget::HolderEvent;
 use guavawell_core::budget::HolderNote;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::SlotLedger;
@@ -73,7 +73,7 @@
 /// What a driver needs from the rest of the router.
 pub struct SlotParts {
     /// This router's life.
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     /// Its zone.
     pub zone: ZoneId,
     /// Zones near enough for a witness; empty means every other zone.
@@ -243,7 +243,12 @@
         }
     }
 
-    fn send(self: &Arc<Self>, seat: &Arc<SlotSeat>, life: InstanceLife, message: WitnessMessage) {
+    fn send(
+        self: &Arc<Self>,
+        seat: &Arc<SlotSeat>,
+        life: InstanceIncarnation,
+        message: WitnessMessage,
+    ) {
         let answer = (self.parts.link.call)(life.instance, PeerRequest::Witness(message));
         let driver = Arc::clone(self);
         let seat = Arc::clone(seat);
--- a/crates/guavawell-fleet/src/slot/maintain.rs
+++ b/crates/guavawell-fleet/src/slot/maintain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::WitnessEvent;
 use guavawell_core::clock::ClockTime;
@@ -131,7 +131,7 @@
     fn change_witness(
         self: &Arc<Self>,
         seat: &Arc<SlotSeat>,
-        witness: Option<InstanceLife>,
+        witness: Option<InstanceIncarnation>,
         now: ClockTime,
     ) {
         // Only the table's answer ends a change; begun without it, the slot
@@ -144,7 +144,7 @@
     }
 
     /// The router that should hold a slot instead of this one, if another should.
-    fn heir(&self, members: &MemberView, slot: &SlotId) -> Option<InstanceLife> {
+    fn heir(&self, members: &MemberView, slot: &SlotId) -> Option<InstanceIncarnation> {
         let owner = members.owner_in(&slot.zone, slot_key(slot).as_bytes())?;
         (owner.instance != self.parts.life.instance).then(|| life_of(owner))
     }
@@ -158,8 +158,8 @@
         &self,
         members: &MemberView,
         slot: &SlotId,
-        silent: Option<&InstanceLife>,
-    ) -> Option<InstanceLife> {
+        silent: Option<&InstanceIncarnation>,
+    ) -> Option<InstanceIncarnation> {
         let own = &self.parts.life.instance;
         let near = &self.parts.witness_zones;
         let usable = |member: &&MemberRecord| {
@@ -258,14 +258,14 @@
     }
 }
 
-fn life_of(member: &MemberRecord) -> InstanceLife {
-    InstanceLife {
+fn life_of(member: &MemberRecord) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: member.instance.clone(),
         incarnation: member.incarnation,
     }
 }
 
-fn is_routable(members: &MemberView, life: &InstanceLife) -> bool {
+fn is_routable(members: &MemberView, life: &InstanceIncarnation) -> bool {
     members
         .find(&life.instance)
         .is_some_and(|member| member.incarnation == life.incarnation && member.is_routable())
--- a/crates/guavawell-fleet/src/slot/resolve.rs
+++ b/crates/guavawell-fleet/src/slot/resolve.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use guavawell_core::budget::HeldAttempt;
-use guavawell_core::budget::InstanceLife;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::InstanceIncarnation;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveGrant;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::ReservedAttempt;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::id::TokenCount;
 use guavawell_core::request::RequestIdentity;
 
@@ -32,9 +32,9 @@
     /// The request.
     pub identity: RequestIdentity,
     /// What the ledger knows.
-    pub held: HeldAttempt,
+    pub held: ReservedAttempt,
     /// The holder that answers for it.
-    pub holder: InstanceLife,
+    pub holder: InstanceIncarnation,
 }
 
 impl SlotDriver {
@@ -53,13 +53,13 @@
     pub async fn resolve(self: &Arc<Self>, orphan: &OrphanedAttempt, found: ResolvedAttempt) {
         match found {
             ResolvedAttempt::InDoubt => {}
-            ResolvedAttempt::NotRun => self.release_later(ReleaseAsk {
+            ResolvedAttempt::NotRun => self.release_later(ReleaseRequest {
                 identity: orphan.identity.clone(),
                 attempt: orphan.held.attempt,
                 before: None,
             }),
             ResolvedAttempt::Done(actual) => {
-                let ask = SettleAsk {
+                let ask = SettleRequest {
                     identity: orphan.identity.clone(),
                     attempt: orphan.held.attempt,
                     grant: ReserveGrant {
@@ -81,13 +81,13 @@
 fn collect(
     seat: &SlotSeat,
     orphans: &mut Vec<OrphanedAttempt>,
-    is_alive: impl Fn(&InstanceLife) -> bool,
+    is_alive: impl Fn(&InstanceIncarnation) -> bool,
 ) {
     let state = seat.lock();
     let Some(holder) = state.present() else {
         return;
     };
-    let held = holder.ledger().held_attempts();
+    let held = holder.ledger().reserved_attempts();
     let gone = held.filter(|(_, held)| !is_alive(&held.router));
     orphans.extend(gone.map(|(identity, held)| OrphanedAttempt {
         identity: identity.clone(),
--- a/crates/guavawell-fleet/src/slot/seat.rs
+++ b/crates/guavawell-fleet/src/slot/seat.rs
@@ -8,7 +8,7 @@
 use guavawell_core::budget::HolderAnswer;
 use guavawell_core::budget::HolderEffect;
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::RequestState;
 use guavawell_core::budget::SlotHolder;
 use guavawell_core::budget::SlotId;
@@ -41,7 +41,7 @@
     pub(super) former: Vec<SlotHolder>,
     pub(super) witness: SlotWitness,
     /// The holder whose records came last.
-    pub(super) witnessed: Option<InstanceLife>,
+    pub(super) witnessed: Option<InstanceIncarnation>,
     /// Since when that holder seems to be gone.
     gone_since: Option<ClockTime>,
     /// The last change of witness that was asked for, and when.
@@ -56,7 +56,7 @@
 /// A witness that was named, and when.
 #[derive(Debug)]
 struct WitnessChoice {
-    witness: Option<InstanceLife>,
+    witness: Option<InstanceIncarnation>,
     at: ClockTime,
 }
 
@@ -129,7 +129,11 @@
     }
 
     /// Whether a witness may be named now: the same one not again at once.
-    pub(super) fn may_change(&mut self, witness: Option<&InstanceLife>, now: ClockTime) -> bool {
+    pub(super) fn may_change(
+        &mut self,
+        witness: Option<&InstanceIncarnation>,
+        now: ClockTime,
+    ) -> bool {
         let is_recent = self
             .change
             .as_ref()
--- a/crates/guavawell-fleet/src/slot/settle.rs
+++ b/crates/guavawell-fleet/src/slot/settle.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::id::BudgetId;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct RunCharge {
     /// The charge as the slot's holder is told it.
-    pub ask: SettleAsk,
+    pub ask: SettleRequest,
     /// The budget.
     pub budget: BudgetId,
 }
@@ -112,7 +112,7 @@
     async fn settle_float(
         self: &Arc<Self>,
         slot: &SlotId,
-        ask: &SettleAsk,
+        ask: &SettleRequest,
     ) -> Option<FormerCharge> {
         let former = &ask.grant.holder;
         let told = PeerRequest::Settle(SlotAsk::new(slot.clone(), ask.clone()));
--- a/crates/guavawell-fleet/src/slot/tests.rs
+++ b/crates/guavawell-fleet/src/slot/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of seats: who begins a tenure, and how often.
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::LedgerHandover;
 use guavawell_core::budget::RecordStamp;
 use guavawell_core::budget::SlotId;
@@ -17,8 +17,8 @@
 
 const NOW: ClockTime = ClockTime::from_millis(1_000);
 
-fn life(name: &str) -> InstanceLife {
-    InstanceLife {
+fn life(name: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: name.parse().expect("a good id"),
         incarnation: IncarnationId::new(1),
     }
--- a/crates/guavawell-fleet/src/slot/toward.rs
+++ b/crates/guavawell-fleet/src/slot/toward.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use guavawell_core::budget::BackendNote;
+use guavawell_core::budget::BackendAssignment;
 use guavawell_core::budget::HandBackAnswer;
-use guavawell_core::budget::HandBackAsk;
+use guavawell_core::budget::HandBackRequest;
 use guavawell_core::budget::HolderEvent;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SettleAnswer;
 use guavawell_core::budget::SlotId;
-use guavawell_core::budget::TakeoverAsk;
+use guavawell_core::budget::TakeoverRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::budget::shard_of;
 use guavawell_core::id::BudgetId;
@@ -78,7 +78,7 @@
     ///
     /// An ask whose answer is lost may have been granted; it is given back in
     /// the background, because the attempt will not be sent.
-    pub async fn reserve(self: &Arc<Self>, ask: ReserveAsk) -> ReserveAnswer {
+    pub async fn reserve(self: &Arc<Self>, ask: ReserveRequest) -> ReserveAnswer {
         let slot = self.slot_of(&ask.identity.organisation);
         let told = PeerRequest::Reserve(SlotAsk::new(slot.clone(), ask.clone()));
         let mut unheard = Vec::new();
@@ -92,7 +92,7 @@
             return answer;
         }
         self.disown(&slot, &ask, None, unheard);
-        self.release_later(ReleaseAsk {
+        self.release_later(ReleaseRequest {
             identity: ask.identity,
             attempt: ask.attempt,
             before: None,
@@ -108,14 +108,14 @@
     fn disown(
         self: &Arc<Self>,
         slot: &SlotId,
-        ask: &ReserveAsk,
+        ask: &ReserveRequest,
         before: Option<SlotEpoch>,
         mut unheard: Vec<InstanceId>,
     ) {
         unheard.sort_unstable();
         unheard.dedup();
         for target in unheard {
-            let release = ReleaseAsk {
+            let release = ReleaseRequest {
                 identity: ask.identity.clone(),
                 attempt: ask.attempt,
                 before,
@@ -136,7 +136,7 @@
     fn release_at(
         self: &Arc<Self>,
         slot: &SlotId,
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
         target: InstanceId,
         is_there: impl Fn(&MemberView) -> bool + Send + 'static,
     ) {
@@ -154,13 +154,13 @@
     }
 
     /// Whether a life holds the slot, as far as is known here.
-    pub(super) fn is_holder(&self, slot: &SlotId, life: &InstanceLife) -> bool {
+    pub(super) fn is_holder(&self, slot: &SlotId, life: &InstanceIncarnation) -> bool {
         self.directory.holder(slot).as_ref() == Some(life)
     }
 
     /// Gives a granted reservation back in the background, also at a former
     /// holder if its float was to pay.
-    pub fn release_granted(self: &Arc<Self>, ask: ReleaseAsk, grant: &ReserveGrant) {
+    pub fn release_granted(self: &Arc<Self>, ask: ReleaseRequest, grant: &ReserveGrant) {
         let slot = self.slot_of(&ask.identity.organisation);
         if grant.pool == TokenPool::Float {
             let former = grant.holder.clone();
@@ -175,7 +175,7 @@
     ///
     /// Goes on while the holder's witness is away, for a takeover may find the
     /// reservation again.
-    pub fn release_later(self: &Arc<Self>, ask: ReleaseAsk) {
+    pub fn release_later(self: &Arc<Self>, ask: ReleaseRequest) {
         let driver = Arc::clone(self);
         let task = async move {
             let slot = driver.slot_of(&ask.identity.organisation);
@@ -203,7 +203,7 @@
     }
 
     /// Tells the holder which backend server runs an attempt; loss is allowed.
-    pub fn note_backend(self: &Arc<Self>, note: BackendNote) {
+    pub fn note_backend(self: &Arc<Self>, note: BackendAssignment) {
         let slot = self.slot_of(&note.identity.organisation);
         if let Some(seat) = self.seat(&slot)
             && seat.is_held()
@@ -220,7 +220,7 @@
     }
 
     /// Asks the slot's holder to let no attempt of a request run.
-    pub async fn seal(self: &Arc<Self>, ask: SealAsk) -> Option<SealAnswer> {
+    pub async fn seal(self: &Arc<Self>, ask: SealRequest) -> Option<SealAnswer> {
         let slot = self.slot_of(&ask.identity.organisation);
         let ask = PeerRequest::Seal(SlotAsk::new(slot.clone(), ask));
         match self.ask_holder(&slot, &ask).await {
@@ -300,7 +300,7 @@
         if witness == self.parts.life.instance {
             self.take_over(slot).await;
         } else {
-            let ask = TakeoverAsk {
+            let ask = TakeoverRequest {
                 slot: slot.clone(),
                 row,
             };
@@ -335,7 +335,7 @@
         slots: &[SlotId],
     ) {
         for slot in slots {
-            let ask = HandBackAsk {
+            let ask = HandBackRequest {
                 slot: slot.clone(),
                 budget: budget.clone(),
                 wanted,
--- a/crates/guavawell-fleet/tests/claims.rs
+++ b/crates/guavawell-fleet/tests/claims.rs
@@ -1,6 +1,6 @@
 //! Claims and seals against the stand-in's platform, fault by fault.
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::IncarnationId;
@@ -55,7 +55,7 @@
     }
 
     fn router_with(table: Table, name: &str) -> ClaimDriver {
-        let life = InstanceLife {
+        let life = InstanceIncarnation {
             instance: name.parse().unwrap(),
             incarnation: IncarnationId::new(1),
         };
--- a/crates/guavawell-fleet/tests/history/claims.rs
+++ b/crates/guavawell-fleet/tests/history/claims.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::IncarnationId;
@@ -143,7 +143,7 @@
 }
 
 fn router(platform: &Platform, number: u64) -> ClaimDriver {
-    let life = InstanceLife {
+    let life = InstanceIncarnation {
         instance: format!("r{number}").parse().unwrap(),
         incarnation: IncarnationId::new(1),
     };
--- a/crates/guavawell-fleet/tests/history/slots/client.rs
+++ b/crates/guavawell-fleet/tests/history/slots/client.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use guavawell_core::budget::ReleaseAnswer;
-use guavawell_core::budget::ReleaseAsk;
+use guavawell_core::budget::ReleaseRequest;
 use guavawell_core::budget::ReserveAnswer;
-use guavawell_core::budget::ReserveAsk;
 use guavawell_core::budget::ReserveGrant;
+use guavawell_core::budget::ReserveRequest;
 use guavawell_core::budget::SealAnswer;
-use guavawell_core::budget::SealAsk;
+use guavawell_core::budget::SealRequest;
 use guavawell_core::budget::SettleAnswer;
-use guavawell_core::budget::SettleAsk;
+use guavawell_core::budget::SettleRequest;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::id::AttemptId;
 use guavawell_core::id::TokenCount;
@@ -82,8 +82,8 @@
         }
     }
 
-    fn ask(&self, attempt: AttemptId) -> ReserveAsk {
-        ReserveAsk {
+    fn ask(&self, attempt: AttemptId) -> ReserveRequest {
+        ReserveRequest {
             identity: identity(self.request),
             attempt,
             budget: "m".parse().unwrap(),
@@ -96,7 +96,7 @@
 
     fn settle(&self, attempt: AttemptId, grant: ReserveGrant) {
         let call = self.history.call();
-        let ask = SettleAsk {
+        let ask = SettleRequest {
             identity: identity(self.request),
             attempt,
             grant,
@@ -145,7 +145,7 @@
 
     pub fn release_at(&self, router: &SlotRouter, attempt: AttemptId) -> Option<ReleaseAnswer> {
         let driver = Arc::clone(&router.driver);
-        let ask = ReleaseAsk {
+        let ask = ReleaseRequest {
             identity: identity(self.request),
             attempt,
             before: None,
@@ -161,7 +161,7 @@
     pub fn seal(&self) {
         let call = self.history.call();
         let driver = Arc::clone(&self.router.driver);
-        let ask = SealAsk {
+        let ask = SealRequest {
             identity: identity(self.request),
         };
         let answer = self.router.run(async move { driver.seal(ask).await });
--- a/crates/guavawell-fleet/tests/history/slots/rig.rs
+++ b/crates/guavawell-fleet/tests/history/slots/rig.rs
@@ -11,7 +11,7 @@
 
 use guavawell_core::budget::BudgetRow;
 use guavawell_core::budget::HolderSettings;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotRow;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -50,7 +50,7 @@
 pub const PAID: TokenCount = TokenCount::new(600);
 
 pub struct SlotRouter {
-    pub life: InstanceLife,
+    pub life: InstanceIncarnation,
     pub driver: Arc<SlotDriver>,
     threads: TaskThreads,
     tasks: TaskSpawner,
@@ -163,7 +163,7 @@
 
     fn add_router(&mut self, place: usize, float_percent: u8) {
         let own = &self.records[place];
-        let life = InstanceLife {
+        let life = InstanceIncarnation {
             instance: own.instance.clone(),
             incarnation: own.incarnation,
         };
--- a/crates/guavawell-fleet/tests/journal.rs
+++ b/crates/guavawell-fleet/tests/journal.rs
@@ -6,7 +6,7 @@
 
 use guavawell_core::budget::BudgetGrant;
 use guavawell_core::budget::BudgetRow;
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::budget::SlotId;
 use guavawell_core::budget::TokenPool;
 use guavawell_core::clock::ClockSpan;
@@ -52,7 +52,7 @@
     }
 
     fn router(&self, incarnation: u64) -> JournalDriver {
-        let life = InstanceLife {
+        let life = InstanceIncarnation {
             instance: "tln-a-1".parse().unwrap(),
             incarnation: IncarnationId::new(incarnation),
         };
--- a/crates/guavawell-fleet/tests/retention.rs
+++ b/crates/guavawell-fleet/tests/retention.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use guavawell_core::budget::InstanceLife;
+use guavawell_core::budget::InstanceIncarnation;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::AttemptId;
@@ -128,8 +128,8 @@
     }
 }
 
-fn life(name: &str) -> InstanceLife {
-    InstanceLife {
+fn life(name: &str) -> InstanceIncarnation {
+    InstanceIncarnation {
         instance: name.parse().unwrap(),
         incarnation: IncarnationId::new(1),
     }
