--- a/crates/guavawell-core/src/budget/account.rs
+++ b/crates/guavawell-core/src/budget/account.rs
@@ -1,4 +1,4 @@
-//! The account of one budget in a slot's ledger.
+//! One budget's account in the ledger of a slot.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,21 +8,22 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// What one tenure did with one budget; the settled counts only rise.
+/// Use of one budget in one tenure. `settled` and `float_settled` never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenureCounters {
-    /// The tenure that the counters count for.
+    /// The tenure.
     pub tenure: SlotEpoch,
-    /// Tokens moved into the float, less those moved out again.
+    /// Tokens moved into the float minus those moved out of it.
     pub float: TokenCount,
     /// Tokens charged to the witnessed part.
     pub settled: TokenCount,
-    /// Tokens charged to the float, as far as known.
+    /// Tokens charged to the float. At the witness this may lag behind, as the
+    /// holder can charge the float while it can't reach the witness.
     pub float_settled: TokenCount,
 }
 
 impl TenureCounters {
-    /// Counters at zero.
+    /// Creates counters at zero.
     #[must_use]
     pub const fn new(tenure: SlotEpoch) -> Self {
         Self {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether nothing was ever moved or charged.
+    /// Whether all counters are zero.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::new(self.tenure)
@@ -53,19 +54,19 @@
 pub struct BudgetAccount {
     /// The budget.
     pub budget: BudgetId,
-    /// The present tenure's counters.
+    /// The counters of the current tenure.
     pub counters: TenureCounters,
-    /// Counters of former tenures that the table may not hold yet, by
-    /// tenure.
+    /// Counters of earlier tenures that the budget row may not include yet, in
+    /// ascending order of tenure.
     pub former: Vec<TenureCounters>,
-    /// Worst cases of running attempts in the witnessed part.
+    /// Tokens reserved by running attempts in the witnessed part.
     pub reserved: TokenCount,
-    /// Worst cases of running attempts in the float.
+    /// Tokens reserved by running attempts in the float.
     pub float_reserved: TokenCount,
 }
 
 impl BudgetAccount {
-    /// An account with nothing in it.
+    /// Creates an account without use or reservations.
     #[must_use]
     pub const fn empty(budget: BudgetId, tenure: SlotEpoch) -> Self {
         Self {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Whether nothing was moved, charged or reserved in any tenure that the
-    /// account still counts for.
+    /// Whether nothing is reserved, and nothing was moved or charged in any tenure
+    /// that the account still covers.
     #[must_use]
     pub fn is_unused(&self) -> bool {
         self.former.is_empty()
@@ -87,7 +88,7 @@
             && self.float_reserved == TokenCount::ZERO
     }
 
-    /// What of `float` is neither charged nor reserved.
+    /// The tokens of `float` that are neither charged nor reserved.
     #[must_use]
     pub const fn float_free(&self, float: TokenCount) -> TokenCount {
         float
@@ -95,6 +96,8 @@
             .saturating_sub(self.float_reserved)
     }
 
+    /// Starts new counters for `tenure`, keeps the old ones in `former` and drops
+    /// the reservations in the float, which a takeover freezes.
     pub(super) fn begin_tenure(&mut self, tenure: SlotEpoch) {
         let ended = std::mem::replace(&mut self.counters, TenureCounters::new(tenure));
         if !ended.is_empty() {
--- a/crates/guavawell-core/src/budget/intent.rs
+++ b/crates/guavawell-core/src/budget/intent.rs
@@ -1,8 +1,8 @@
-//! What a holder or a witness wants from the platform's table.
+//! Table operations that a holder or a witness requests from its driver.
 //!
-//! Every intent may be carried out again. When the answer of a write is
-//! lost, the driver reads the rows back and starts over: rows know the
-//! changes that they hold.
+//! Every operation can be retried. If the response to a write is lost, the driver
+//! reads the rows again and repeats the operation; the rows record which changes
+//! were applied, so none is applied twice.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,12 +15,13 @@
 use crate::id::BudgetId;
 use crate::id::TokenCount;
 
-/// One transaction, or one read, against the table.
+/// A transaction or a read on the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableIntent {
-    /// Replace the slot row if it still equals `expected` (`None`: absent);
-    /// answer with the row as it is afterwards, read back if need be.
+    /// Replace the slot row if it still equals `expected` (`None`: no row exists).
+    /// The result is the row after the operation, whether replaced or not; the
+    /// driver reads it again if necessary.
     WriteSlot {
         /// The slot.
         slot: SlotId,
@@ -34,16 +35,16 @@
         /// The slot.
         slot: SlotId,
     },
-    /// Apply a holder's change to the budget row, comparing the budget
-    /// row's revision and a slot row with this change's tenure.
+    /// Apply a holder's change to the budget row, provided that the budget row's
+    /// revision is unchanged and the slot row still names the change's tenure.
     ChangeGrant {
         /// The budget.
         budget: BudgetId,
         /// The change.
         change: GrantChange,
     },
-    /// Apply a former holder's late report, comparing the budget row's
-    /// revision.
+    /// Apply a former holder's late report, provided that the budget row's revision
+    /// is unchanged.
     ReportFrozen {
         /// The budget.
         budget: BudgetId,
@@ -52,20 +53,20 @@
     },
 }
 
-/// The grant as the table holds it after a change.
+/// The grant of one slot in the table after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantView {
-    /// The last change that the row holds.
+    /// The sequence number of the last change that was applied.
     pub sequence: u64,
-    /// Open tokens of the slot.
+    /// Open tokens of the slot's grant.
     pub open: TokenCount,
-    /// Witnessed charges that the row holds.
+    /// Charges to the witnessed part that the budget row includes.
     pub reported: TokenCount,
-    /// Float charges that the row holds.
+    /// Charges to the float that the budget row includes.
     pub float_reported: TokenCount,
-    /// Tokens that may still be granted.
+    /// Tokens of the budget that can still be granted.
     pub unspent: TokenCount,
-    /// Other slots with open tokens.
+    /// Other slots with open tokens of this budget.
     pub elsewhere: Vec<OtherGrant>,
 }
 
@@ -74,20 +75,20 @@
 pub struct OtherGrant {
     /// The slot.
     pub slot: SlotId,
-    /// Its open tokens, those in use included.
+    /// Its open tokens, including those reserved by running attempts.
     pub open: TokenCount,
 }
 
-/// Why an intent was not carried out.
+/// Why a table operation failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TableFailure {
-    /// The table could not be reached, or its answer was lost and it could
-    /// not be read back.
+    /// The table could not be reached, or the response to a write was lost and
+    /// reading the row again failed too.
     Unreachable,
     /// The slot row names another holder or tenure.
     NotHolder,
-    /// There is no such budget.
+    /// The budget does not exist.
     NoBudget,
-    /// The row refused the change.
+    /// The budget row rejected the change.
     Refused(RowError),
 }
--- a/crates/guavawell-core/src/budget/ledger.rs
+++ b/crates/guavawell-core/src/budget/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger of a slot: what its holder did and its witness knows.
+//! The ledger of a slot: its budget accounts and the requests charged to them.
 //!
-//! The holder and the witness apply the same entries to the same type, so
-//! that a takeover goes on from what was acknowledged.
+//! The holder and its witness each keep a copy and apply the same entries, so that
+//! a takeover continues from everything that the witness has acknowledged.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -19,7 +19,7 @@
 use crate::request::RequestDigest;
 use crate::request::RequestIdentity;
 
-/// What is known of one request.
+/// The ledger's record of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestEntry {
     /// The request.
@@ -36,11 +36,11 @@
     Reserved(ReservedAttempt),
     /// The request was charged.
     Settled(ChargedAttempt),
-    /// The request never runs.
+    /// The request is sealed: no attempt of it may start.
     Sealed,
 }
 
-/// An attempt that may be running, at its worst case.
+/// An attempt that may be running, with the most that it may cost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReservedAttempt {
     /// The attempt.
@@ -49,25 +49,27 @@
     pub budget: BudgetId,
     /// The pool drawn on.
     pub pool: TokenPool,
-    /// The tenure it was reserved under; a float attempt of a former tenure
-    /// belongs to the frozen float.
+    /// The tenure it was reserved in; an attempt in the float of an earlier
+    /// tenure counts against the frozen float.
     pub tenure: SlotEpoch,
     /// The reserved tokens.
     pub amount: TokenCount,
     /// The router that runs it.
     pub router: InstanceIncarnation,
-    /// The backend server, where it is known.
+    /// The backend server, if known.
     pub backend: Option<BackendId>,
-    /// What is asked.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
 }
 
 impl ReservedAttempt {
-    /// What a charge of `actual` to `pool` takes here.
+    /// Returns how much of `actual` is charged to this reservation if the attempt
+    /// was granted from `pool`: at most the reserved amount, and zero if the
+    /// reservation is in the other pool.
     ///
-    /// An attempt that its router was granted from a float, while the witness
-    /// had it as its own part, was paid by the former holder's float: here it
-    /// only ends.
+    /// The pools differ if a witness that took over knew the attempt as reserved in
+    /// the witnessed part while the former holder granted it from its float. That
+    /// float pays for it, so the reservation ends without a charge.
     #[must_use]
     pub fn chargeable_tokens(&self, pool: TokenPool, actual: TokenCount) -> TokenCount {
         if self.pool == pool {
@@ -85,22 +87,22 @@
     pub attempt: AttemptId,
     /// The budget that was charged.
     pub budget: BudgetId,
-    /// The pool that paid.
+    /// The pool that was charged.
     pub pool: TokenPool,
     /// The charge.
     pub charged: TokenCount,
-    /// The backend server, where it is known.
+    /// The backend server, if known.
     pub backend: Option<BackendId>,
-    /// What was asked.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
 }
 
 /// The whole ledger of a slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotLedger {
-    /// The holder's tenure.
+    /// The tenure of the current holder.
     pub tenure: SlotEpoch,
-    /// Of tenures before this one nothing is known.
+    /// Use in tenures before this one is unknown.
     pub unknown_before: SlotEpoch,
     /// Accounts, sorted by budget.
     pub accounts: Vec<BudgetAccount>,
@@ -109,7 +111,7 @@
 }
 
 impl SlotLedger {
-    /// An empty ledger of a holder that begins at `tenure`.
+    /// Creates an empty ledger for a holder whose tenure is `tenure`.
     #[must_use]
     pub const fn new(tenure: SlotEpoch) -> Self {
         Self {
@@ -120,8 +122,8 @@
         }
     }
 
-    /// The ledger of a holder that an operator's word put in the place of a
-    /// destroyed holder and witness.
+    /// Creates the ledger of a holder that an operator appointed after both the
+    /// former holder and its witness were lost.
     #[must_use]
     pub const fn after_loss(tenure: SlotEpoch) -> Self {
         let mut ledger = Self::new(tenure);
@@ -129,7 +131,7 @@
         ledger
     }
 
-    /// What the ledger knows of former tenures' use of a budget.
+    /// The use of a budget in earlier tenures, as far as the ledger knows it.
     #[must_use]
     pub fn former_use(&self, budget: &BudgetId) -> FormerUse {
         FormerUse {
@@ -148,7 +150,8 @@
         Some(&self.accounts[index])
     }
 
-    /// The account of a budget, made empty under the present tenure if new.
+    /// The account of a budget; creates an empty one for the current tenure if
+    /// there is none.
     pub fn account_mut(&mut self, budget: &BudgetId) -> &mut BudgetAccount {
         let index = match self.account_index(budget) {
             Ok(index) => index,
@@ -168,6 +171,7 @@
         Some(&self.requests[index].state)
     }
 
+    /// Removes a request unless an attempt of it may still be running.
     fn forget(&mut self, identity: &RequestIdentity) {
         let Ok(index) = self.request_index(identity) else {
             return;
@@ -177,8 +181,9 @@
         }
     }
 
-    /// Goes on under a new holder: counters start anew, floats freeze, and
-    /// running attempts of the witnessed part stay at their worst case.
+    /// Continues the ledger under a new holder. Counters restart at zero and the
+    /// reservations in floats, which are frozen, no longer count in the accounts.
+    /// Running attempts in the witnessed part keep their full reservation.
     pub fn begin_tenure(&mut self, tenure: SlotEpoch) {
         self.tenure = tenure;
         for account in &mut self.accounts {
@@ -186,8 +191,8 @@
         }
     }
 
-    /// Applies one entry. An entry that does not fit the ledger (an attempt
-    /// released before, a request charged before) changes nothing.
+    /// Applies one entry. An entry that does not fit the ledger, such as the release
+    /// of an attempt that is not reserved, changes nothing.
     pub fn apply(&mut self, entry: &LedgerEntry) {
         match entry {
             LedgerEntry::Reserve {
@@ -312,12 +317,13 @@
         }
     }
 
+    /// Drops the counters of tenures before `tenure`, which the table includes now.
     fn rebase(&mut self, budget: &BudgetId, tenure: SlotEpoch) {
         let account = self.account_mut(budget);
         account.former.retain(|counters| counters.tenure >= tenure);
     }
 
-    /// Every attempt that may be running.
+    /// All attempts that may be running.
     pub fn reserved_attempts(&self) -> impl Iterator<Item = (&RequestIdentity, &ReservedAttempt)> {
         self.requests.iter().filter_map(|entry| match &entry.state {
             RequestState::Reserved(reserved) => Some((&entry.identity, reserved)),
@@ -325,7 +331,7 @@
         })
     }
 
-    /// Every request that was charged or sealed.
+    /// All requests that were charged or sealed.
     pub fn ended_requests(&self) -> impl Iterator<Item = &RequestIdentity> {
         self.requests
             .iter()
@@ -339,7 +345,7 @@
         matches!(self.request(identity), Some(RequestState::Settled(_)))
     }
 
-    /// Every request that was charged.
+    /// All requests that were charged.
     pub fn charges(&self) -> impl Iterator<Item = (&RequestIdentity, &ChargedAttempt)> {
         self.requests.iter().filter_map(|entry| match &entry.state {
             RequestState::Settled(charge) => Some((&entry.identity, charge)),
@@ -347,7 +353,7 @@
         })
     }
 
-    /// Whether an attempt is paid from a float that a takeover froze.
+    /// Whether an attempt is paid for by the frozen float of an earlier tenure.
     #[must_use]
     pub fn is_frozen(&self, reserved: &ReservedAttempt) -> bool {
         reserved.pool == TokenPool::Float && reserved.tenure != self.tenure
--- a/crates/guavawell-core/src/budget/message.rs
+++ b/crates/guavawell-core/src/budget/message.rs
@@ -1,7 +1,8 @@
-//! Messages between routers about money: asks of a slot's holder and its
+//! Messages between routers about budgets: requests to a slot's holder and its
 //! answers.
 //!
-//! Every ask may be sent again: the holder knows an attempt by its id.
+//! Every message can be sent again; the holder recognises a repeat by the
+//! attempt's id.
 
 use std::fmt;
 
@@ -24,9 +25,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TokenPool {
-    /// The part that the witness acknowledges use by use.
+    /// The part in which the witness acknowledges each reservation before it is
+    /// granted.
     Witnessed,
-    /// The solo float: spent without the witness, frozen by a takeover.
+    /// The part that the holder may spend without the witness; a takeover freezes
+    /// it.
     Float,
 }
 
@@ -39,22 +42,23 @@
     }
 }
 
-/// Asks the holder to reserve an attempt's worst case.
+/// Asks the holder to reserve the most that an attempt may cost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReserveRequest {
     /// The request.
     pub identity: RequestIdentity,
-    /// This try of it.
+    /// The attempt.
     pub attempt: AttemptId,
     /// The budget to draw on.
     pub budget: BudgetId,
-    /// Prompt tokens plus output limit.
+    /// Tokens to reserve: the prompt's tokens plus the output limit.
     pub amount: TokenCount,
-    /// The life of the router that will run the attempt.
+    /// The router that will run the attempt.
     pub router: InstanceIncarnation,
-    /// Whether the request may run more than once.
+    /// Whether it is safe to run the request more than once.
     pub idempotent: bool,
-    /// What is asked: another ask under the same id is refused.
+    /// Digest of the request's content: a request with the same identity but
+    /// another digest is refused.
     pub digest: RequestDigest,
 }
 
@@ -62,74 +66,76 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReserveAnswer {
-    /// The attempt may run and may charge up to the amount.
+    /// The attempt may run and be charged up to the reserved amount.
     Granted(ReserveGrant),
-    /// Another attempt of the request is running.
+    /// Another attempt of the request is already running.
     Joined {
         /// The running attempt.
         attempt: AttemptId,
         /// The router that runs it.
         router: InstanceIncarnation,
-        /// The backend server, where it is known.
+        /// The backend server, if known.
         backend: Option<BackendId>,
     },
-    /// The request was charged already; a further charge is never made.
+    /// The request was already charged and is never charged again.
     AlreadyBilled {
         /// The attempt that was charged.
         attempt: AttemptId,
         /// Its charge.
         charged: TokenCount,
-        /// The backend server, where it is known.
+        /// The backend server, if known.
         backend: Option<BackendId>,
     },
-    /// The request was refused for good; it never runs.
+    /// The request is sealed: no attempt of it may start.
     Sealed,
-    /// The identity was used with another budget, or for another request.
+    /// The identity was used with another budget or another request content.
     Mismatch,
-    /// The budget's rest does not cover the amount.
+    /// The budget does not have enough tokens left for the amount.
     Exhausted {
-        /// When a later try may work, if reservations that are open now end.
+        /// When to try again; `None` if no attempt is running and no other zone has
+        /// open tokens, so that none can become available.
         retry_after: Option<ClockSpan>,
-        /// Unspent tokens granted to other zones, as last read.
+        /// Open tokens granted to other zones when the row was last read.
         elsewhere: TokenCount,
     },
-    /// Neither the witness nor the solo float can serve now, or the table
-    /// that grants more is away.
+    /// Nothing can be reserved at the moment: the witness does not acknowledge and
+    /// the float does not cover the amount, or the table can't be reached.
     Unreachable {
-        /// When a later try may work.
+        /// When to try again.
         retry_after: ClockSpan,
     },
-    /// The asked router does not hold the slot.
+    /// The receiving router does not hold the slot.
     NotHolder {
-        /// The holder, as last read.
+        /// The holder, as far as the receiving router knows.
         holder: Option<InstanceIncarnation>,
     },
 }
 
-/// The right to run one attempt; sent back when it is settled or released.
+/// Permission to run one attempt. A [`SettleRequest`] carries it back.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReserveGrant {
-    /// The holder that granted; a float attempt is settled with it alone.
+    /// The holder that granted it. An attempt in the float can only be settled with
+    /// this holder.
     pub holder: InstanceIncarnation,
     /// The holder's tenure.
     pub tenure: SlotEpoch,
     /// The pool that was drawn on.
     pub pool: TokenPool,
-    /// The reserved amount: the most that may be charged.
+    /// The reserved tokens, the most that may be charged.
     pub amount: TokenCount,
 }
 
-/// Asks the holder to charge an attempt; answered before the end marker
-/// goes to the caller.
+/// Asks the holder to charge an attempt. The router waits for the answer before it
+/// sends the end marker of the stream to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// The attempt that ran.
     pub attempt: AttemptId,
-    /// The grant it ran under.
+    /// The grant that permitted the attempt.
     pub grant: ReserveGrant,
-    /// Tokens used; charged up to the reserved amount.
+    /// Tokens used; the charge is limited to the reserved amount.
     pub actual: TokenCount,
     /// The backend server that served it.
     pub backend: Option<BackendId>,
@@ -139,33 +145,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettleAnswer {
-    /// The charge is with the witness, or in the float's account.
+    /// The witness has acknowledged the charge, or the float was charged.
     Settled {
         /// The charge.
         charged: TokenCount,
     },
-    /// The request was charged before; this ask charged nothing.
+    /// Another attempt of the request was charged before; nothing was charged now.
     AlreadySettled {
         /// The attempt that was charged.
         attempt: AttemptId,
         /// Its charge.
         charged: TokenCount,
     },
-    /// The holder has the charge, but its witness does not acknowledge now.
+    /// The holder has recorded the charge, but its witness does not acknowledge.
     ///
-    /// The worst case stays reserved at the witness, so the charge can't be
-    /// lost to the budget; the router asks again until it is settled.
+    /// The witness keeps the full reservation, so the budget can't lose the charge.
+    /// The router repeats the request until it is settled.
     Pending {
         /// The charge.
         charged: TokenCount,
-        /// When to ask again.
+        /// When to try again.
         retry_after: ClockSpan,
     },
-    /// The holder knows no such attempt.
+    /// The holder has no record of the attempt.
     Unknown,
-    /// The asked router does not hold the slot.
+    /// The receiving router does not hold the slot.
     NotHolder {
-        /// The holder, as last read.
+        /// The holder, as far as the receiving router knows.
         holder: Option<InstanceIncarnation>,
     },
 }
@@ -182,23 +188,25 @@
     }
 }
 
-/// Gives a reservation back: the attempt did not run and will not.
+/// Asks the holder to cancel the reservation of an attempt that never ran and never
+/// will.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReleaseRequest {
     /// The request.
     pub identity: RequestIdentity,
     /// The attempt that did not run.
     pub attempt: AttemptId,
-    /// Gives back only what was reserved in a tenure before this one; `None`
-    /// is the word of the router that would have run the attempt.
+    /// Limits the release to reservations from tenures before this one. `None` sets
+    /// no limit; it is for senders that know that the attempt never runs, such as the
+    /// router that would have run it.
     ///
-    /// A former holder knows only of its own tenure: its successor may have
-    /// granted the attempt anew, and it may run.
+    /// A former holder must set the limit: its successor may have granted the
+    /// attempt again in a later tenure, in which it may run.
     pub before: Option<SlotEpoch>,
 }
 
 impl ReleaseRequest {
-    /// Whether a reservation of `tenure` is meant.
+    /// Whether the release covers reservations made in `tenure`.
     #[must_use]
     pub fn applies_to(&self, tenure: SlotEpoch) -> bool {
         self.before.is_none_or(|before| tenure < before)
@@ -209,30 +217,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReleaseAnswer {
-    /// The reservation is gone, or was never there, and the witness has it so.
+    /// There is no reservation, and the witness has acknowledged that.
     Released,
-    /// The reservation is gone here, but the witness does not acknowledge now.
+    /// The holder has removed the reservation, but its witness does not acknowledge.
     ///
-    /// A takeover would find it again; the router asks again until it is
-    /// released.
+    /// After a takeover it would still be reserved, so the router repeats the
+    /// request until it is released.
     Pending {
-        /// When to ask again.
+        /// When to try again.
         retry_after: ClockSpan,
     },
-    /// The attempt was charged already.
+    /// The attempt was already charged.
     AlreadySettled {
         /// Its charge.
         charged: TokenCount,
     },
-    /// The asked router does not hold the slot.
+    /// The receiving router does not hold the slot.
     NotHolder {
-        /// The holder, as last read.
+        /// The holder, as far as the receiving router knows.
         holder: Option<InstanceIncarnation>,
     },
 }
 
-/// Tells the holder which backend server runs an attempt, so that another
-/// router may resume its stream.
+/// Tells the holder which backend server runs an attempt, so that another router
+/// can resume its stream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BackendAssignment {
     /// The request.
@@ -243,7 +251,7 @@
     pub backend: BackendId,
 }
 
-/// Asks the holder to let no attempt of the request run from now on.
+/// Asks the holder to seal a request: to grant no attempt of it from now on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SealRequest {
     /// The request.
@@ -254,9 +262,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SealAnswer {
-    /// The witness holds the seal: this slot grants the request nothing.
+    /// The request is sealed and the witness has acknowledged it: the slot grants no
+    /// attempt of it.
     Sealed,
-    /// An attempt is running; the request can't be sealed now.
+    /// The request can't be sealed because an attempt is running.
     Running {
         /// The running attempt.
         attempt: AttemptId,
@@ -270,24 +279,24 @@
     },
     /// The witness can't be reached; the request is not sealed.
     Unreachable {
-        /// When to ask again.
+        /// When to try again.
         retry_after: ClockSpan,
     },
-    /// The asked router does not hold the slot.
+    /// The receiving router does not hold the slot.
     NotHolder {
-        /// The holder, as last read.
+        /// The holder, as far as the receiving router knows.
         holder: Option<InstanceIncarnation>,
     },
 }
 
-/// Asks the holder in another zone to give unspent tokens back to a budget.
+/// Asks the holder in another zone to return unused tokens to a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HandBackRequest {
-    /// The slot that should give.
+    /// The slot whose grant the tokens should come from.
     pub slot: SlotId,
     /// The budget.
     pub budget: BudgetId,
-    /// The tokens that the asking zone is short of.
+    /// The tokens that the requesting zone lacks.
     pub wanted: TokenCount,
 }
 
@@ -295,21 +304,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandBackAnswer {
-    /// This much was given back and stands in the table.
+    /// Tokens were returned to the budget, and the table includes the change.
     Given {
-        /// The tokens given back; zero if there was no surplus.
+        /// The returned tokens; zero if the slot had no surplus.
         tokens: TokenCount,
     },
-    /// The asked router does not hold the slot.
+    /// The receiving router does not hold the slot.
     NotHolder {
-        /// The holder, as last read.
+        /// The holder, as far as the receiving router knows.
         holder: Option<InstanceIncarnation>,
     },
 }
 
-/// Asks any router for the incarnation it lives under.
+/// A router's answer to a request for its current incarnation.
 ///
-/// A holder learns the life of a candidate witness by it.
+/// A holder learns the incarnation of a candidate witness from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationAnswer {
     /// The answering router's incarnation.
--- a/crates/guavawell-core/src/budget/mod.rs
+++ b/crates/guavawell-core/src/budget/mod.rs
@@ -1,7 +1,16 @@
-//! Prepaid budgets: rows, slots, grants, witnesses, takeover and refill.
+//! Prepaid token budgets, and every decision whether a token may be spent.
 //!
-//! Owns every decision about whether a token may be spent. Never reads a
-//! clock, opens a socket, starts a thread or draws a random number.
+//! Each organisation belongs to a shard. A *slot* is one shard in one availability
+//! zone. One router, the *holder*, decides which requests of the slot may spend
+//! tokens. The table stores a row per budget, from which holders receive *grants*,
+//! and a row per slot, which names the holder and its *witness*. The witness is a
+//! second router that keeps a copy of the holder's ledger and takes the slot over
+//! if the holder fails. The *float* is the part of a grant that the holder may
+//! spend while it can't reach the witness. A *tenure* is the period in which one
+//! holder holds the slot.
+//!
+//! The module performs no I/O and is deterministic: it reads no clock, opens no
+//! socket, starts no thread and draws no random number.
 
 mod account;
 mod holder;
--- a/crates/guavawell-core/src/budget/record.rs
+++ b/crates/guavawell-core/src/budget/record.rs
@@ -1,4 +1,4 @@
-//! Messages between a slot's holder and its witness.
+//! Messages between the holder of a slot and its witness.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,35 +16,38 @@
 use crate::request::RequestDigest;
 use crate::request::RequestIdentity;
 
-/// What every record and acknowledgement carries; any difference is refused.
+/// Identifies the holder, witness and epoch that a message belongs to.
+///
+/// Every record and acknowledgement carries it; a message with another stamp than
+/// the expected one is refused or ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordStamp {
     /// The slot.
     pub slot: SlotId,
-    /// The slot's epoch, which rises with every change of holder or witness.
+    /// The slot's epoch, which increases with every change of holder or witness.
     pub epoch: SlotEpoch,
-    /// The holder's life.
+    /// The incarnation of the holder.
     pub holder: InstanceIncarnation,
-    /// The witness's life.
+    /// The incarnation of the witness.
     pub witness: InstanceIncarnation,
 }
 
 /// A batch of ledger entries from the holder to its witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WitnessRecord {
-    /// Between which lives, under which epoch.
+    /// The holder, witness and epoch.
     pub stamp: RecordStamp,
-    /// The batch's number under this epoch, from one without gaps.
+    /// The number of the batch within this epoch, starting at one, without gaps.
     pub sequence: u64,
-    /// The entries, in the order in which they happened.
+    /// The entries, in the order in which the holder recorded them.
     pub entries: Vec<LedgerEntry>,
 }
 
-/// One change of the ledger.
+/// One change to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerEntry {
-    /// An attempt holds its worst case.
+    /// An attempt reserved the most that it may cost.
     Reserve {
         /// The request.
         identity: RequestIdentity,
@@ -58,10 +61,10 @@
         amount: TokenCount,
         /// The router that runs the attempt.
         router: InstanceIncarnation,
-        /// What is asked.
+        /// Digest of the request's content.
         digest: RequestDigest,
     },
-    /// An attempt is served by a backend server.
+    /// A backend server runs an attempt.
     Serve {
         /// The request.
         identity: RequestIdentity,
@@ -78,93 +81,95 @@
         attempt: AttemptId,
         /// The charge.
         charged: TokenCount,
-        /// The backend server, where it is known.
+        /// The backend server, if known.
         backend: Option<BackendId>,
     },
-    /// An attempt did not run.
+    /// The reservation of an attempt that did not run was cancelled.
     Release {
         /// The request.
         identity: RequestIdentity,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The request is to run no more.
+    /// A request was sealed: no attempt of it may start.
     Seal {
         /// The request.
         identity: RequestIdentity,
     },
-    /// The retention of a charged or sealed request has passed.
+    /// A charged or sealed request is no longer retained.
     Forget {
         /// The request.
         identity: RequestIdentity,
     },
-    /// Tokens move into the solo float; usable once acknowledged.
+    /// Tokens move into the float; usable there once the witness acknowledges.
     RaiseFloat {
         /// The budget.
         budget: BudgetId,
         /// The tokens moved.
         tokens: TokenCount,
     },
-    /// Tokens move out of the solo float; usable once acknowledged.
+    /// Tokens move from the float to the witnessed part; usable there once the
+    /// witness acknowledges.
     LowerFloat {
         /// The budget.
         budget: BudgetId,
         /// The tokens moved.
         tokens: TokenCount,
     },
-    /// The table holds what tenures before this one did with the budget.
+    /// The table now includes the use of the budget in earlier tenures.
     Rebase {
         /// The budget.
         budget: BudgetId,
-        /// The first tenure that the table may not hold yet.
+        /// The first tenure whose use the table may not include yet.
         tenure: SlotEpoch,
     },
 }
 
-/// The witness's acknowledgement of every batch up to `sequence`.
+/// The witness's acknowledgement of all batches up to `sequence`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WitnessAck {
     /// The stamp of the acknowledged batch.
     pub stamp: RecordStamp,
-    /// The last batch that the ledger holds.
+    /// The last batch that the witness has applied.
     pub sequence: u64,
 }
 
-/// Why a witness does not acknowledge.
+/// Why a witness refuses a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It has no ledger for the stamp: restarted, or never asked.
+    /// It has no ledger for the stamp: it restarted, dropped the ledger or never
+    /// received one.
     UnknownStamp,
-    /// It has stopped in order to take the slot over.
+    /// It stopped acknowledging in order to take the slot over.
     Stopped,
-    /// A batch before this one is missing.
+    /// It has not received an earlier batch.
     Gap,
 }
 
-/// The witness's refusal; the holder has to change its witness, unless the
-/// reason is [`RefusalReason::Gap`].
+/// The witness's refusal of a record. The holder has to change its witness unless
+/// the reason is [`RefusalReason::Gap`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WitnessRefusal {
     /// The stamp of the refused record.
     pub stamp: RecordStamp,
-    /// Why.
+    /// Why it was refused.
     pub reason: RefusalReason,
 }
 
-/// The whole ledger, sent to a new witness before the table names it.
+/// The whole ledger, sent to a new witness before the slot row names it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LedgerHandover {
-    /// The stamp as it will be once the table names the new witness.
+    /// The stamp that is valid once the slot row names the new witness.
     pub stamp: RecordStamp,
-    /// Rises with every handover of this holder; tells two ledgers apart
-    /// that were handed over under one stamp.
+    /// The number of the handover. It increases with every handover of this holder
+    /// and distinguishes ledgers that were sent with the same stamp.
     pub handover: u64,
     /// The ledger.
     pub ledger: SlotLedger,
 }
 
-/// The new witness's word that it holds the ledger.
+/// The new witness's acknowledgement of a handover.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HandoverAck {
     /// The stamp of the handover.
@@ -173,28 +178,28 @@
     pub handover: u64,
 }
 
-/// Asks a witness to take the slot over: its holder is believed dead, or
-/// leaves.
+/// Asks a witness to take the slot over, because the holder is leaving or appears
+/// to have failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TakeoverRequest {
     /// The slot.
     pub slot: SlotId,
-    /// The row that the asker read.
+    /// The slot row as the sender read it.
     pub row: SlotRow,
 }
 
-/// Everything that a holder and its witness send each other.
+/// Any message between a holder and its witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WitnessMessage {
-    /// Holder to witness.
+    /// A batch of entries, from the holder to its witness.
     Record(WitnessRecord),
-    /// Witness to holder.
+    /// An acknowledgement, from the witness to the holder.
     Ack(WitnessAck),
-    /// Witness to holder.
+    /// A refusal, from the witness to the holder.
     Refusal(WitnessRefusal),
-    /// Holder to a new witness.
+    /// The whole ledger, from the holder to a new witness.
     Handover(LedgerHandover),
-    /// New witness to holder.
+    /// An acknowledgement of the ledger, from the new witness to the holder.
     HandoverAck(HandoverAck),
 }
--- a/crates/guavawell-core/src/budget/slot.rs
+++ b/crates/guavawell-core/src/budget/slot.rs
@@ -1,4 +1,4 @@
-//! Slots: the part of the budgets that one router decides about.
+//! Slots, the units in which decisions about budgets are assigned to routers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,10 +16,13 @@
 use crate::id::SlotEpoch;
 use crate::id::ZoneId;
 
-/// One shard of the organisations, as seen from one availability zone.
+/// One shard of the organisations in one availability zone.
+///
+/// At any time one router, the slot's holder, decides on the use of the shard's
+/// budgets in the zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotId {
-    /// The availability zone whose callers the slot serves.
+    /// The availability zone whose callers use the slot.
     pub zone: ZoneId,
     /// The shard of organisations.
     pub shard: ShardId,
@@ -31,9 +34,9 @@
     }
 }
 
-/// A text that names no slot.
+/// A text is not a valid slot id.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no slot; write ZONE/SHARD, for instance `tln-a/3`")]
+#[error("`{0}` is not a valid slot; expected ZONE/SHARD, such as `tln-a/3`")]
 pub struct SlotIdError(Box<str>);
 
 impl FromStr for SlotId {
@@ -51,10 +54,10 @@
     }
 }
 
-/// The shard of an organisation among `shards`, the same on every router.
+/// Returns the shard of an organisation, which is the same on every router.
 ///
-/// `shards` is a setting of the deployment that never changes while slots
-/// are held. Zero counts as one.
+/// `shards`, the number of shards, is a setting of the deployment. It must not
+/// change while any slot has a holder. Zero is treated as one.
 #[must_use]
 pub fn shard_of(organisation: &OrganisationId, shards: u16) -> ShardId {
     let digest = Sha256::digest(organisation.as_str().as_bytes());
@@ -64,33 +67,33 @@
     ShardId::new(u16::try_from(shard).unwrap_or_default())
 }
 
-/// One life of one instance.
+/// An instance from one start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceIncarnation {
     /// The instance.
     pub instance: InstanceId,
-    /// Its incarnation, drawn anew at each start.
+    /// Its incarnation, a random id that is new at each start.
     pub incarnation: IncarnationId,
 }
 
-/// The table's row of a slot, under `slot/{zone}/{shard}`.
+/// The slot row, stored in the table under `slot/{zone}/{shard}`.
 ///
-/// Every write of the row compares the whole former row.
+/// A row is only replaced if it still equals the row that was read before.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotRow {
-    /// The router that decides for the slot.
+    /// The router that decides on the use of the budgets.
     pub holder: InstanceIncarnation,
-    /// The router that acknowledges the holder's reservations, if any.
+    /// The router that keeps a copy of the holder's ledger, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub witness: Option<InstanceIncarnation>,
-    /// Rises with every change of holder or witness.
+    /// Increases with every change of holder or witness.
     pub epoch: SlotEpoch,
-    /// The epoch at which the present holder began; its grants carry it.
+    /// The epoch in which the current holder began; its grants carry it.
     pub tenure: SlotEpoch,
 }
 
 impl SlotRow {
-    /// The first row of a slot that nobody holds yet.
+    /// The first row of a slot that had no holder before.
     #[must_use]
     pub const fn first(holder: InstanceIncarnation) -> Self {
         Self {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The row after the holder changed its witness.
+    /// The row after a change of the witness by the holder.
     #[must_use]
     pub fn with_witness(&self, witness: Option<InstanceIncarnation>) -> Self {
         Self {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// The row after another router took the slot; it has no witness yet.
+    /// The row after another router became the holder; it has no witness yet.
     #[must_use]
     pub const fn with_holder(&self, holder: InstanceIncarnation) -> Self {
         Self {
--- a/crates/guavawell-core/src/budget/witness.rs
+++ b/crates/guavawell-core/src/budget/witness.rs
@@ -1,10 +1,10 @@
-//! The witness of a slot: acknowledges its holder's records, and takes the
-//! slot over when the holder is gone.
+//! The witness of a slot: keeps a replica of the holder's ledger and takes the slot
+//! over when the holder fails or leaves.
 //!
-//! A witness keeps no more than memory. One that restarted has a new
-//! incarnation and no ledger, so it refuses. Once it stopped in order to take
-//! over, it never acknowledges under that epoch again, whatever the table
-//! answers: a write whose answer was lost may take effect late.
+//! A witness keeps its replicas in memory only. After a restart it has a new
+//! incarnation and no replica, so it refuses records. Once it has stopped in order
+//! to take over, it never acknowledges records of that epoch again, whatever the
+//! table answers, because a write whose response was lost may take effect later.
 
 use super::intent::TableIntent;
 use super::ledger::SlotLedger;
@@ -23,46 +23,46 @@
 use crate::clock::ClockTime;
 use crate::id::SlotEpoch;
 
-/// What a witness is told.
+/// Input to a witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WitnessEvent {
-    /// The holder sends a batch.
+    /// The holder sent a batch of entries.
     Record(WitnessRecord),
-    /// A holder hands its ledger over.
+    /// A holder sent its whole ledger.
     Handover(LedgerHandover),
-    /// Take the slot over; the row as read from the table just now.
+    /// Take the slot over; contains the slot row as just read from the table.
     TakeOver(SlotRow),
-    /// The slot row as it is after [`TableIntent::WriteSlot`] or
-    /// [`TableIntent::ReadSlot`].
+    /// The slot row after [`TableIntent::WriteSlot`] or [`TableIntent::ReadSlot`].
     SlotRead(SlotRow),
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// What a witness wants done.
+/// An action that the driver has to perform for a witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WitnessEffect {
-    /// Send to the holder; loss is allowed.
+    /// Send a message to the holder; it may be lost.
     Send(InstanceIncarnation, WitnessMessage),
-    /// Carry out against the table, then tell the row.
+    /// Perform a table operation, then report the row as [`WitnessEvent::SlotRead`].
     Table(TableIntent),
-    /// The table names this instance as the holder: begin a
+    /// The slot row names this instance as the holder: start a
     /// [`SlotHolder`](super::SlotHolder) with this row and ledger.
     Begin(SlotRow, Box<SlotLedger>),
 }
 
-/// One ledger that a holder entrusted to this witness.
+/// A replica of a holder's ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LedgerReplica {
     stamp: RecordStamp,
     handover: u64,
     sequence: u64,
     ledger: SlotLedger,
-    /// Once stopped, for good.
+    /// Whether the witness has stopped acknowledging records in order to take over.
+    /// Never reset.
     is_stopped: bool,
 }
 
-/// A takeover whose outcome is not known yet.
+/// A takeover whose outcome is unknown as yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingTakeover {
     expected: SlotRow,
@@ -76,22 +76,23 @@
     incarnation: InstanceIncarnation,
     slot: SlotId,
     retry_interval: ClockSpan,
-    /// Ledgers by epoch: the one that the table names, and those that it may
-    /// name soon.
+    /// The replica for the current slot row, and those for rows that the holder is
+    /// about to write.
     replicas: Vec<LedgerReplica>,
     takeover: Option<PendingTakeover>,
-    /// The highest epoch that the table is known to have named. A ledger of
-    /// this epoch or before may have been given up, so none is taken in: a
-    /// late handover would bring a stopped witness back to life.
+    /// The highest epoch known to have been in the slot row. New replicas of this
+    /// epoch or an earlier one are not accepted: this witness may have stopped and
+    /// dropped that replica before, and after a late handover it would acknowledge
+    /// records again.
     latest_epoch: SlotEpoch,
 }
 
 impl SlotWitness {
-    /// A witness without a ledger; `retry_interval` is the time between two tries of
-    /// a takeover whose answer is missing.
+    /// Creates a witness without a replica. `retry_interval` is the time after which
+    /// an unanswered takeover is sent again.
     ///
-    /// The instance keeps it for its whole life, also while it has no ledger:
-    /// what it gave up must not come back.
+    /// The instance must keep the witness until it stops, even while it has no
+    /// replica: a new one would accept late handovers of replicas that were dropped.
     #[must_use]
     pub const fn new(
         incarnation: InstanceIncarnation,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `effects`.
     pub fn handle(
         &mut self,
         event: WitnessEvent,
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Whether it keeps a ledger.
+    /// Whether it has a replica of a ledger.
     #[must_use]
     pub const fn has_ledger(&self) -> bool {
         !self.replicas.is_empty()
     }
 
-    /// Whether it has stopped in order to take the slot over.
+    /// Whether a takeover is in progress.
     #[must_use]
     pub const fn is_taking_over(&self) -> bool {
         self.takeover.is_some()
@@ -166,8 +167,8 @@
         effects.push(WitnessEffect::Send(stamp.holder, WitnessMessage::Ack(ack)));
     }
 
-    /// A record under an epoch proves that the table named it: ledgers of
-    /// former epochs are of no use any more.
+    /// Drops the replicas of earlier epochs, which are obsolete: a record of an epoch
+    /// proves that the slot row has reached that epoch.
     fn drop_older_replicas(&mut self, stamp: &RecordStamp) {
         self.latest_epoch = self.latest_epoch.max(stamp.epoch);
         self.replicas
@@ -206,7 +207,8 @@
         effects.push(WitnessEffect::Send(stamp.holder, message));
     }
 
-    /// Stops first, then closes the epoch in the table.
+    /// Stops acknowledging records, then writes a slot row that names this instance as
+    /// the holder.
     fn take_over(&mut self, row: &SlotRow, now: ClockTime, effects: &mut Vec<WitnessEffect>) {
         let current = self
             .replicas
@@ -273,6 +275,7 @@
     }
 }
 
+/// Whether the epoch, holder and witness of a stamp are those of a slot row.
 fn matches_row(stamp: &RecordStamp, row: &SlotRow) -> bool {
     stamp.epoch == row.epoch
         && stamp.holder == row.holder
