--- a/crates/guavawell-core/tests/budget_rows.rs
+++ b/crates/guavawell-core/tests/budget_rows.rs
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn a_change_counts_once() {
+fn a_repeated_change_is_not_applied_again() {
     let granted = written(row(100).change_grant(&change(1, 40)));
     assert_eq!(open(&granted), 40);
     assert_eq!(granted.change_grant(&change(1, 40)), Ok(RowChange::Applied));
 }
 
 #[test]
-fn a_need_is_met_as_far_as_the_rest_goes_and_a_wish_shrinks_towards_the_end() {
+fn a_need_is_granted_from_all_unspent_tokens_and_a_want_from_a_share() {
     let granted = written(row(100).change_grant(&change(1, 500)));
     assert_eq!(open(&granted), 100);
-    let wish = GrantChange {
+    let want_only = GrantChange {
         need: tokens(0),
         ..change(1, 500)
     };
-    assert_eq!(open(&written(row(100).change_grant(&wish))), 50);
+    assert_eq!(open(&written(row(100).change_grant(&want_only))), 50);
 }
 
 #[test]
-fn settled_use_and_hand_back_leave_the_grant() {
+fn settled_and_returned_tokens_are_deducted_from_the_grant() {
     let granted = written(row(100).change_grant(&change(1, 40)));
     let back = GrantChange {
         settled: tokens(10),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_takeover_settles_what_is_known_and_freezes_the_float() {
+fn a_takeover_settles_known_charges_and_freezes_the_float() {
     let row = taken_over();
     assert_eq!((open(&row), row.settled), (35, tokens(15)));
     assert_eq!(row.frozen[0].tokens, tokens(10));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_late_report_counts_once_and_never_beyond_the_frozen_tokens() {
+fn a_late_report_is_applied_once_and_never_exceeds_the_frozen_tokens() {
     let row = taken_over();
     let report = FrozenReport {
         slot: slot(),
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_reclaim_without_proof_charges_everything() {
+fn a_reclaim_without_proof_charges_all_frozen_tokens() {
     let reclaim = FrozenReclaim {
         slot: slot(),
         tenure: SlotEpoch::new(1),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_loss_of_holder_and_witness_freezes_the_whole_grant() {
+fn losing_holder_and_witness_freezes_the_whole_grant() {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let close = GrantChange {
         tenure: SlotEpoch::new(2),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn top_ups_count_once_and_a_lowered_base_never_cuts_what_is_committed() {
+fn top_ups_are_added_once_and_a_lowered_base_never_cuts_committed_tokens() {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let id: TopUpId = "may".parse().unwrap();
     let raised = written(granted.top_up(&id, tokens(30)));
--- a/crates/guavawell-core/tests/budget_slots.rs
+++ b/crates/guavawell-core/tests/budget_slots.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn repeats_are_joined_replayed_and_charged_once() {
+fn a_retried_request_is_joined_and_charged_once() {
     let mut fleet = fleet(1, 1_000, 0);
     let grant = granted(reserve(&mut fleet, 0, 1, 1, 100));
     assert_eq!(granted(reserve(&mut fleet, 0, 1, 1, 100)), grant);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_charge_never_passes_its_reservation() {
+fn a_charge_never_exceeds_its_reservation() {
     let mut fleet = fleet(1, 1_000, 0);
     let grant = granted(reserve(&mut fleet, 0, 1, 1, 100));
     assert_eq!(settle(&mut fleet, 0, 1, 1, &grant, 500), settled(100));
@@ -173,23 +173,23 @@
 }
 
 #[test]
-fn a_parted_zone_serves_from_its_float_and_charges_what_it_has_running() {
+fn a_partitioned_zone_serves_from_its_float_and_settles_running_attempts() {
     let mut fleet = fleet(2, 1_000, 50);
     let running = granted(reserve(&mut fleet, 0, 1, 1, 10));
     assert_eq!(running.pool, TokenPool::Witnessed);
     fleet.cut[0] = true;
-    let alone = granted(reserve(&mut fleet, 0, 2, 2, 10));
-    assert_eq!(alone.pool, TokenPool::Float);
+    let float_grant = granted(reserve(&mut fleet, 0, 2, 2, 10));
+    assert_eq!(float_grant.pool, TokenPool::Float);
     let pending = settle(&mut fleet, 0, 1, 1, &running, 4);
     assert!(matches!(pending, SettleAnswer::Pending { charged, .. } if charged.get() == 4));
-    assert_eq!(settle(&mut fleet, 0, 2, 2, &alone, 10), settled(10));
+    assert_eq!(settle(&mut fleet, 0, 2, 2, &float_grant, 10), settled(10));
     fleet.cut[0] = false;
     fleet.tick(ClockSpan::from_millis(100));
     assert_eq!(settle(&mut fleet, 0, 1, 1, &running, 4), settled(4));
 }
 
 #[test]
-fn without_a_float_a_parted_zone_says_unreachable_not_exhausted() {
+fn a_partitioned_zone_without_a_float_answers_unreachable_not_exhausted() {
     let mut fleet = fleet(2, 1_000, 0);
     granted(reserve(&mut fleet, 0, 1, 1, 10));
     fleet.cut[0] = true;
@@ -219,8 +219,8 @@
     let raise = |row: &guavawell_core::budget::BudgetRow| row.top_up(&id, TokenCount::new(100));
     fleet.update(&budget, raise).unwrap();
     granted(reserve(&mut fleet, 0, 2, 2, 60));
-    let parted = reserve(&mut fleet, 2, 3, 3, 40);
-    assert!(matches!(parted, ReserveAnswer::Unreachable { .. }));
+    let partitioned = reserve(&mut fleet, 2, 3, 3, 40);
+    assert!(matches!(partitioned, ReserveAnswer::Unreachable { .. }));
     fleet.cut[2] = false;
     fleet.tick(ClockSpan::from_millis(1_000));
     granted(reserve(&mut fleet, 2, 3, 4, 40));
@@ -268,27 +268,30 @@
 }
 
 #[test]
-fn a_holder_that_missed_its_takeover_disowns_no_charge_of_its_successor() {
+fn a_holder_unaware_of_its_takeover_redirects_charges_of_its_successor() {
     let mut fleet = fleet(2, 1_000, 0);
     let grant = granted(reserve(&mut fleet, 0, 1, 1, 60));
     let later = ReserveGrant {
         tenure: grant.tenure.next().next(),
         ..grant.clone()
     };
-    let unheard = SettleRequest {
+    let later_tenure = SettleRequest {
         identity: identity(2),
         attempt: AttemptId::new(2),
         grant: later.clone(),
         actual: TokenCount::new(10),
         backend: None,
     };
-    fleet.ask_present(0, HolderEvent::Settle(ASK, unheard.clone()));
+    fleet.ask_present(0, HolderEvent::Settle(ASK, later_tenure.clone()));
     let HolderAnswer::Settle(SettleAnswer::NotHolder { holder }) = answer(&mut fleet) else {
         panic!("a charge under a later tenure is not this holder's to disown");
     };
     assert_eq!(holder, Some(later.holder));
-    let unknown = SettleRequest { grant, ..unheard };
+    let unknown = SettleRequest {
+        grant,
+        ..later_tenure
+    };
     fleet.ask_present(0, HolderEvent::Settle(ASK, unknown));
-    let told = HolderAnswer::Settle(SettleAnswer::Unknown);
-    assert_eq!(answer(&mut fleet), told);
+    let expected = HolderAnswer::Settle(SettleAnswer::Unknown);
+    assert_eq!(answer(&mut fleet), expected);
 }
