--- a/crates/guavawell-core/tests/budget_rows.rs
+++ b/crates/guavawell-core/tests/budget_rows.rs
@@ -1,4 +1,4 @@
-//! The budget row's rules, one by one.
+//! Tests each rule of the budget row in isolation.
 
 use guavawell_core::budget::BudgetRow;
 use guavawell_core::budget::FormerUse;
@@ -35,7 +35,7 @@
     )
 }
 
-/// A change of the first tenure that needs `need` tokens.
+/// A change by the holder of the first tenure that requests `need` tokens.
 fn change(sequence: u64, need: u64) -> GrantChange {
     GrantChange {
         slot: slot(),
@@ -104,8 +104,9 @@
     assert_eq!(after.change_grant(&too_much), Err(RowError::GrantOverdrawn));
 }
 
-/// A holder of tenure 2 takes over from one that spent 5 of its float of 15
-/// and 10 of the rest, as the witness knows.
+/// The row after the holder of tenure 2 took over from the holder of tenure 1. The
+/// witness knows that tenure 1 charged 5 tokens to its float of 15 and 10 tokens to
+/// the witnessed part.
 fn taken_over() -> BudgetRow {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let counters = TenureCounters {
--- a/crates/guavawell-core/tests/budget_slots.rs
+++ b/crates/guavawell-core/tests/budget_slots.rs
@@ -1,4 +1,4 @@
-//! Slots step by step: what a router is answered, and why.
+//! Tests the answers of a slot's holder to single requests, over a simulated fleet.
 
 mod budget_fleet;
 
@@ -40,7 +40,7 @@
     RequestIdentity::from_caller("org".parse().unwrap(), &format!("r{request}")).unwrap()
 }
 
-/// Reserves and lets up to ten seconds pass until the answer is there.
+/// Requests a reservation and waits up to ten simulated seconds for the answer.
 fn reserve(
     fleet: &mut Fleet,
     zone: usize,
@@ -284,7 +284,7 @@
     };
     fleet.ask_present(0, HolderEvent::Settle(ASK, later_tenure.clone()));
     let HolderAnswer::Settle(SettleAnswer::NotHolder { holder }) = answer(&mut fleet) else {
-        panic!("a charge under a later tenure is not this holder's to disown");
+        panic!("a charge of a later tenure must be answered with `NotHolder`");
     };
     assert_eq!(holder, Some(later.holder));
     let unknown = SettleRequest {
