--- a/crates/guavawell-core/src/budget/ledger.rs
+++ b/crates/guavawell-core/src/budget/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger of a slot: what its holder did and its witness knows.
+//! The ledger of a slot: its budget accounts and the requests charged to them.
 //!
-//! The holder and the witness apply the same entries to the same type, so
-//! that a takeover goes on from what was acknowledged.
+//! The holder and its witness each keep a copy and apply the same entries, so that
+//! a takeover continues from everything that the witness has acknowledged.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,7 +10,7 @@
 use super::message::TokenPool;
 use super::record::LedgerEntry;
 use super::row::FormerUse;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use crate::id::AttemptId;
 use crate::id::BackendId;
 use crate::id::BudgetId;
@@ -19,7 +19,7 @@
 use crate::request::RequestDigest;
 use crate::request::RequestIdentity;
 
-/// What is known of one request.
+/// The ledger's record of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestEntry {
     /// The request.
@@ -33,43 +33,45 @@
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
     /// An attempt may be running.
-    Reserved(HeldAttempt),
+    Reserved(ReservedAttempt),
     /// The request was charged.
     Settled(ChargedAttempt),
-    /// The request never runs.
+    /// The request is sealed: no attempt of it may start.
     Sealed,
 }
 
-/// An attempt that may be running, at its worst case.
+/// An attempt that may be running, with the most that it may cost.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct HeldAttempt {
+pub struct ReservedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// The budget drawn on.
     pub budget: BudgetId,
     /// The pool drawn on.
     pub pool: TokenPool,
-    /// The tenure it was reserved under; a float attempt of a former tenure
-    /// belongs to the frozen float.
+    /// The tenure it was reserved in; an attempt in the float of an earlier
+    /// tenure counts against the frozen float.
     pub tenure: SlotEpoch,
     /// The reserved tokens.
     pub amount: TokenCount,
     /// The router that runs it.
-    pub router: InstanceLife,
-    /// The backend server, where it is known.
+    pub router: InstanceIncarnation,
+    /// The backend server, if known.
     pub backend: Option<BackendId>,
-    /// What is asked.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
 }
 
-impl HeldAttempt {
-    /// What a charge of `actual` to `pool` takes here.
+impl ReservedAttempt {
+    /// Returns how much of `actual` is charged to this reservation if the attempt
+    /// was granted from `pool`: at most the reserved amount, and zero if the
+    /// reservation is in the other pool.
     ///
-    /// An attempt that its router was granted from a float, while the witness
-    /// had it as its own part, was paid by the former holder's float: here it
-    /// only ends.
+    /// The pools differ if a witness that took over knew the attempt as reserved in
+    /// the witnessed part while the former holder granted it from its float. That
+    /// float pays for it, so the reservation ends without a charge.
     #[must_use]
-    pub fn owes(&self, pool: TokenPool, actual: TokenCount) -> TokenCount {
+    pub fn chargeable_tokens(&self, pool: TokenPool, actual: TokenCount) -> TokenCount {
         if self.pool == pool {
             actual.min(self.amount)
         } else {
@@ -85,22 +87,22 @@
     pub attempt: AttemptId,
     /// The budget that was charged.
     pub budget: BudgetId,
-    /// The pool that paid.
+    /// The pool that was charged.
     pub pool: TokenPool,
     /// The charge.
     pub charged: TokenCount,
-    /// The backend server, where it is known.
+    /// The backend server, if known.
     pub backend: Option<BackendId>,
-    /// What was asked.
+    /// Digest of the request's content.
     pub digest: RequestDigest,
 }
 
 /// The whole ledger of a slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotLedger {
-    /// The holder's tenure.
+    /// The tenure of the current holder.
     pub tenure: SlotEpoch,
-    /// Of tenures before this one nothing is known.
+    /// Use in tenures before this one is unknown.
     pub unknown_before: SlotEpoch,
     /// Accounts, sorted by budget.
     pub accounts: Vec<BudgetAccount>,
@@ -109,7 +111,7 @@
 }
 
 impl SlotLedger {
-    /// An empty ledger of a holder that begins at `tenure`.
+    /// Creates an empty ledger for a holder whose tenure is `tenure`.
     #[must_use]
     pub const fn new(tenure: SlotEpoch) -> Self {
         Self {
@@ -120,8 +122,8 @@
         }
     }
 
-    /// The ledger of a holder that an operator's word put in the place of a
-    /// destroyed holder and witness.
+    /// Creates the ledger of a holder that an operator appointed after both the
+    /// former holder and its witness were lost.
     #[must_use]
     pub const fn after_loss(tenure: SlotEpoch) -> Self {
         let mut ledger = Self::new(tenure);
@@ -129,7 +131,7 @@
         ledger
     }
 
-    /// What the ledger knows of former tenures' use of a budget.
+    /// The use of a budget in earlier tenures, as far as the ledger knows it.
     #[must_use]
     pub fn former_use(&self, budget: &BudgetId) -> FormerUse {
         FormerUse {
@@ -144,41 +146,44 @@
     /// The account of a budget, if it has one.
     #[must_use]
     pub fn account(&self, budget: &BudgetId) -> Option<&BudgetAccount> {
-        let place = self.account_place(budget).ok()?;
-        Some(&self.accounts[place])
+        let index = self.account_index(budget).ok()?;
+        Some(&self.accounts[index])
     }
 
-    /// The account of a budget, made empty under the present tenure if new.
+    /// The account of a budget; creates an empty one for the current tenure if
+    /// there is none.
     pub fn account_mut(&mut self, budget: &BudgetId) -> &mut BudgetAccount {
-        let place = match self.account_place(budget) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.account_index(budget) {
+            Ok(index) => index,
+            Err(index) => {
                 let account = BudgetAccount::empty(budget.clone(), self.tenure);
-                self.accounts.insert(place, account);
-                place
+                self.accounts.insert(index, account);
+                index
             }
         };
-        &mut self.accounts[place]
+        &mut self.accounts[index]
     }
 
     /// The state of a request, if it is known.
     #[must_use]
     pub fn request(&self, identity: &RequestIdentity) -> Option<&RequestState> {
-        let place = self.request_place(identity).ok()?;
-        Some(&self.requests[place].state)
+        let index = self.request_index(identity).ok()?;
+        Some(&self.requests[index].state)
     }
 
+    /// Removes a request unless an attempt of it may still be running.
     fn forget(&mut self, identity: &RequestIdentity) {
-        let Ok(place) = self.request_place(identity) else {
+        let Ok(index) = self.request_index(identity) else {
             return;
         };
-        if !matches!(self.requests[place].state, RequestState::Reserved(_)) {
-            self.requests.remove(place);
+        if !matches!(self.requests[index].state, RequestState::Reserved(_)) {
+            self.requests.remove(index);
         }
     }
 
-    /// Goes on under a new holder: counters start anew, floats freeze, and
-    /// running attempts of the witnessed part stay at their worst case.
+    /// Continues the ledger under a new holder. Counters restart at zero and the
+    /// reservations in floats, which are frozen, no longer count in the accounts.
+    /// Running attempts in the witnessed part keep their full reservation.
     pub fn begin_tenure(&mut self, tenure: SlotEpoch) {
         self.tenure = tenure;
         for account in &mut self.accounts {
@@ -186,8 +191,8 @@
         }
     }
 
-    /// Applies one entry. An entry that does not fit the ledger (an attempt
-    /// released before, a request charged before) changes nothing.
+    /// Applies one entry. An entry that does not fit the ledger, such as the release
+    /// of an attempt that is not reserved, changes nothing.
     pub fn apply(&mut self, entry: &LedgerEntry) {
         match entry {
             LedgerEntry::Reserve {
@@ -199,7 +204,7 @@
                 router,
                 digest,
             } => {
-                let held = HeldAttempt {
+                let reserved = ReservedAttempt {
                     attempt: *attempt,
                     budget: budget.clone(),
                     pool: *pool,
@@ -209,7 +214,7 @@
                     backend: None,
                     digest: *digest,
                 };
-                self.reserve(identity, &held);
+                self.reserve(identity, &reserved);
             }
             LedgerEntry::Serve {
                 identity,
@@ -237,31 +242,32 @@
         }
     }
 
-    fn reserve(&mut self, identity: &RequestIdentity, held: &HeldAttempt) {
-        match self.request_place(identity) {
-            Ok(place) => {
-                let state = &mut self.requests[place].state;
-                let RequestState::Reserved(former) = state else {
+    fn reserve(&mut self, identity: &RequestIdentity, reserved: &ReservedAttempt) {
+        match self.request_index(identity) {
+            Ok(index) => {
+                let state = &mut self.requests[index].state;
+                let RequestState::Reserved(previous) = state else {
                     return;
                 };
-                let former = former.clone();
-                *state = RequestState::Reserved(held.clone());
-                self.free(&former);
+                let previous = previous.clone();
+                *state = RequestState::Reserved(reserved.clone());
+                self.unreserve(&previous);
             }
-            Err(place) => {
+            Err(index) => {
                 let entry = RequestEntry {
                     identity: identity.clone(),
-                    state: RequestState::Reserved(held.clone()),
+                    state: RequestState::Reserved(reserved.clone()),
                 };
-                self.requests.insert(place, entry);
+                self.requests.insert(index, entry);
             }
         }
-        self.account_mut(&held.budget).hold(held.pool, held.amount);
+        self.account_mut(&reserved.budget)
+            .add_reserved(reserved.pool, reserved.amount);
     }
 
     fn serve(&mut self, identity: &RequestIdentity, attempt: AttemptId, backend: &BackendId) {
-        if let Some(held) = self.held_mut(identity, attempt) {
-            held.backend = Some(backend.clone());
+        if let Some(reserved) = self.reserved_attempt_mut(identity, attempt) {
+            reserved.backend = Some(backend.clone());
         }
     }
 
@@ -272,59 +278,60 @@
         charged: TokenCount,
         backend: Option<&BackendId>,
     ) {
-        let Some(held) = self.held_mut(identity, attempt).cloned() else {
+        let Some(reserved) = self.reserved_attempt_mut(identity, attempt).cloned() else {
             return;
         };
         let charge = ChargedAttempt {
             attempt,
-            budget: held.budget.clone(),
-            pool: held.pool,
+            budget: reserved.budget.clone(),
+            pool: reserved.pool,
             charged,
-            backend: backend.cloned().or_else(|| held.backend.clone()),
-            digest: held.digest,
+            backend: backend.cloned().or_else(|| reserved.backend.clone()),
+            digest: reserved.digest,
         };
-        self.replace(identity, RequestState::Settled(charge));
-        self.free(&held);
-        if !self.is_frozen(&held) {
-            let account = self.account_mut(&held.budget);
-            account.counters.charge(held.pool, charged);
+        self.set_state(identity, RequestState::Settled(charge));
+        self.unreserve(&reserved);
+        if !self.is_frozen(&reserved) {
+            let account = self.account_mut(&reserved.budget);
+            account.counters.charge(reserved.pool, charged);
         }
     }
 
     fn release(&mut self, identity: &RequestIdentity, attempt: AttemptId) {
-        let Some(held) = self.held_mut(identity, attempt).cloned() else {
+        let Some(reserved) = self.reserved_attempt_mut(identity, attempt).cloned() else {
             return;
         };
-        if let Ok(place) = self.request_place(identity) {
-            self.requests.remove(place);
+        if let Ok(index) = self.request_index(identity) {
+            self.requests.remove(index);
         }
-        self.free(&held);
+        self.unreserve(&reserved);
     }
 
     fn seal(&mut self, identity: &RequestIdentity) {
-        if let Err(place) = self.request_place(identity) {
+        if let Err(index) = self.request_index(identity) {
             let entry = RequestEntry {
                 identity: identity.clone(),
                 state: RequestState::Sealed,
             };
-            self.requests.insert(place, entry);
+            self.requests.insert(index, entry);
         }
     }
 
+    /// Drops the counters of tenures before `tenure`, which the table includes now.
     fn rebase(&mut self, budget: &BudgetId, tenure: SlotEpoch) {
         let account = self.account_mut(budget);
         account.former.retain(|counters| counters.tenure >= tenure);
     }
 
-    /// Every attempt that may be running.
-    pub fn held_attempts(&self) -> impl Iterator<Item = (&RequestIdentity, &HeldAttempt)> {
+    /// All attempts that may be running.
+    pub fn reserved_attempts(&self) -> impl Iterator<Item = (&RequestIdentity, &ReservedAttempt)> {
         self.requests.iter().filter_map(|entry| match &entry.state {
-            RequestState::Reserved(held) => Some((&entry.identity, held)),
+            RequestState::Reserved(reserved) => Some((&entry.identity, reserved)),
             _ => None,
         })
     }
 
-    /// Every request that was charged or sealed.
+    /// All requests that were charged or sealed.
     pub fn ended_requests(&self) -> impl Iterator<Item = &RequestIdentity> {
         self.requests
             .iter()
@@ -338,7 +345,7 @@
         matches!(self.request(identity), Some(RequestState::Settled(_)))
     }
 
-    /// Every request that was charged.
+    /// All requests that were charged.
     pub fn charges(&self) -> impl Iterator<Item = (&RequestIdentity, &ChargedAttempt)> {
         self.requests.iter().filter_map(|entry| match &entry.state {
             RequestState::Settled(charge) => Some((&entry.identity, charge)),
@@ -346,42 +353,43 @@
         })
     }
 
-    /// Whether an attempt is paid from a float that a takeover froze.
+    /// Whether an attempt is paid for by the frozen float of an earlier tenure.
     #[must_use]
-    pub fn is_frozen(&self, held: &HeldAttempt) -> bool {
-        held.pool == TokenPool::Float && held.tenure != self.tenure
+    pub fn is_frozen(&self, reserved: &ReservedAttempt) -> bool {
+        reserved.pool == TokenPool::Float && reserved.tenure != self.tenure
     }
 
-    fn free(&mut self, held: &HeldAttempt) {
-        if !self.is_frozen(held) {
-            self.account_mut(&held.budget).free(held.pool, held.amount);
+    fn unreserve(&mut self, reserved: &ReservedAttempt) {
+        if !self.is_frozen(reserved) {
+            self.account_mut(&reserved.budget)
+                .subtract_reserved(reserved.pool, reserved.amount);
         }
     }
 
-    fn replace(&mut self, identity: &RequestIdentity, state: RequestState) {
-        if let Ok(place) = self.request_place(identity) {
-            self.requests[place].state = state;
+    fn set_state(&mut self, identity: &RequestIdentity, state: RequestState) {
+        if let Ok(index) = self.request_index(identity) {
+            self.requests[index].state = state;
         }
     }
 
-    fn held_mut(
+    fn reserved_attempt_mut(
         &mut self,
         identity: &RequestIdentity,
         attempt: AttemptId,
-    ) -> Option<&mut HeldAttempt> {
-        let place = self.request_place(identity).ok()?;
-        match &mut self.requests[place].state {
-            RequestState::Reserved(held) if held.attempt == attempt => Some(held),
+    ) -> Option<&mut ReservedAttempt> {
+        let index = self.request_index(identity).ok()?;
+        match &mut self.requests[index].state {
+            RequestState::Reserved(reserved) if reserved.attempt == attempt => Some(reserved),
             _ => None,
         }
     }
 
-    fn account_place(&self, budget: &BudgetId) -> Result<usize, usize> {
+    fn account_index(&self, budget: &BudgetId) -> Result<usize, usize> {
         self.accounts
             .binary_search_by(|account| account.budget.cmp(budget))
     }
 
-    fn request_place(&self, identity: &RequestIdentity) -> Result<usize, usize> {
+    fn request_index(&self, identity: &RequestIdentity) -> Result<usize, usize> {
         self.requests
             .binary_search_by(|entry| entry.identity.cmp(identity))
     }
--- a/crates/guavawell-core/src/budget/mod.rs
+++ b/crates/guavawell-core/src/budget/mod.rs
@@ -1,7 +1,16 @@
-//! Prepaid budgets: rows, slots, grants, witnesses, takeover and refill.
+//! Prepaid token budgets, and every decision whether a token may be spent.
 //!
-//! Owns every decision about whether a token may be spent. Never reads a
-//! clock, opens a socket, starts a thread or draws a random number.
+//! Each organisation belongs to a shard. A *slot* is one shard in one availability
+//! zone. One router, the *holder*, decides which requests of the slot may spend
+//! tokens. The table stores a row per budget, from which holders receive *grants*,
+//! and a row per slot, which names the holder and its *witness*. The witness is a
+//! second router that keeps a copy of the holder's ledger and takes the slot over
+//! if the holder fails. The *float* is the part of a grant that the holder may
+//! spend while it can't reach the witness. A *tenure* is the period in which one
+//! holder holds the slot.
+//!
+//! The module performs no I/O and is deterministic: it reads no clock, opens no
+//! socket, starts no thread and draws no random number.
 
 mod account;
 mod holder;
@@ -28,30 +37,30 @@
 pub use intent::TableFailure;
 pub use intent::TableIntent;
 pub use ledger::ChargedAttempt;
-pub use ledger::HeldAttempt;
 pub use ledger::RequestEntry;
 pub use ledger::RequestState;
+pub use ledger::ReservedAttempt;
 pub use ledger::SlotLedger;
-pub use message::BackendNote;
+pub use message::BackendAssignment;
 pub use message::HandBackAnswer;
-pub use message::HandBackAsk;
-pub use message::LifeAnswer;
+pub use message::HandBackRequest;
+pub use message::IncarnationAnswer;
 pub use message::ReleaseAnswer;
-pub use message::ReleaseAsk;
+pub use message::ReleaseRequest;
 pub use message::ReserveAnswer;
-pub use message::ReserveAsk;
 pub use message::ReserveGrant;
+pub use message::ReserveRequest;
 pub use message::SealAnswer;
-pub use message::SealAsk;
+pub use message::SealRequest;
 pub use message::SettleAnswer;
-pub use message::SettleAsk;
+pub use message::SettleRequest;
 pub use message::TokenPool;
 pub use record::HandoverAck;
 pub use record::LedgerEntry;
 pub use record::LedgerHandover;
 pub use record::RecordStamp;
 pub use record::RefusalReason;
-pub use record::TakeoverAsk;
+pub use record::TakeoverRequest;
 pub use record::WitnessAck;
 pub use record::WitnessMessage;
 pub use record::WitnessRecord;
@@ -68,7 +77,7 @@
 pub use row::RowChange;
 pub use row::RowError;
 pub use row::TopUpId;
-pub use slot::InstanceLife;
+pub use slot::InstanceIncarnation;
 pub use slot::SlotId;
 pub use slot::SlotIdError;
 pub use slot::SlotRow;
--- a/crates/guavawell-core/src/budget/row/frozen.rs
+++ b/crates/guavawell-core/src/budget/row/frozen.rs
@@ -1,4 +1,5 @@
-//! Frozen tokens: how they come to be, and the two ways in which they end.
+//! Freezing tokens of an ended tenure, and the two ways to release them: a late
+//! report of the former holder or an operator's reclaim.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,47 +13,51 @@
 use crate::id::SlotEpoch;
 use crate::id::TokenCount;
 
-/// The late word of a former holder about tokens that froze.
+/// A former holder's late report of its use of tokens that were frozen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FrozenReport {
     /// The slot.
     pub slot: SlotId,
     /// The tenure that ended.
     pub tenure: SlotEpoch,
-    /// Witnessed charges of that tenure, in all.
+    /// Sum of all charges to the witnessed part in that tenure.
     pub settled: TokenCount,
-    /// Float charges of that tenure, in all.
+    /// Sum of all charges to the float in that tenure.
     pub float_settled: TokenCount,
-    /// Worst cases of witnessed attempts whose outcome the holder does not
-    /// know yet.
+    /// Tokens reserved by attempts in the witnessed part whose outcome the
+    /// holder does not know yet.
     pub running: TokenCount,
 }
 
-/// An operator's audited word that a former holder is destroyed.
+/// An operator's audited statement that a former holder is lost for good and
+/// will never report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FrozenReclaim {
     /// The slot.
     pub slot: SlotId,
     /// The tenure that ended.
     pub tenure: SlotEpoch,
-    /// The most that the holder can have spent of the frozen tokens, as the
-    /// audit proves; `None` charges all of them.
+    /// Upper bound, proved by the audit, of what the holder spent of the frozen
+    /// tokens; `None` charges all of them.
     pub spent: Option<TokenCount>,
 }
 
 impl BudgetRow {
-    /// Applies a former holder's late report; a second one finds nothing.
+    /// Applies a former holder's late report: charges what it spent of the frozen
+    /// tokens and makes the others available again. A repeated report changes
+    /// nothing.
     ///
     /// # Errors
     ///
-    /// [`RowError::NotClosed`] while the grant is still the former holder's,
-    /// [`RowError::StillRunning`] if its running attempts draw on the frozen
-    /// tokens, [`RowError::GrantOverdrawn`] if it spent more than froze.
+    /// [`RowError::NotClosed`] while no later tenure has closed the grant,
+    /// [`RowError::StillRunning`] if the whole grant is frozen and the holder still
+    /// has running attempts, [`RowError::GrantOverdrawn`] if it spent more than was
+    /// frozen.
     pub fn report_frozen(&self, report: &FrozenReport) -> Result<RowChange, RowError> {
-        let Some(place) = self.frozen_place(&report.slot, report.tenure) else {
+        let Some(index) = self.frozen_index(&report.slot, report.tenure) else {
             return self.nothing_frozen(&report.slot, report.tenure);
         };
-        let frozen = &self.frozen[place];
+        let frozen = &self.frozen[index];
         if frozen.whole && report.running > TokenCount::ZERO {
             return Err(RowError::StillRunning);
         }
@@ -66,20 +71,21 @@
         if spent > frozen.tokens {
             return Err(RowError::GrantOverdrawn);
         }
-        Ok(RowChange::Write(self.thaw(place, spent)))
+        Ok(RowChange::Write(self.settle_frozen(index, spent)))
     }
 
-    /// Ends frozen tokens by an operator's audited word.
+    /// Charges frozen tokens as an operator's audit states and makes the others
+    /// available again. A repeated reclaim changes nothing.
     ///
     /// # Errors
     ///
-    /// [`RowError::NotClosed`] while the grant is still the former holder's.
+    /// [`RowError::NotClosed`] while no later tenure has closed the grant.
     pub fn reclaim_frozen(&self, reclaim: &FrozenReclaim) -> Result<RowChange, RowError> {
-        let Some(place) = self.frozen_place(&reclaim.slot, reclaim.tenure) else {
+        let Some(index) = self.frozen_index(&reclaim.slot, reclaim.tenure) else {
             return self.nothing_frozen(&reclaim.slot, reclaim.tenure);
         };
-        let spent = reclaim.spent.unwrap_or(self.frozen[place].tokens);
-        Ok(RowChange::Write(self.thaw(place, spent)))
+        let spent = reclaim.spent.unwrap_or(self.frozen[index].tokens);
+        Ok(RowChange::Write(self.settle_frozen(index, spent)))
     }
 
     pub(super) fn freeze(&mut self, grant: &BudgetGrant, tokens: TokenCount, whole: bool) {
@@ -95,21 +101,24 @@
             float_reported: grant.float_reported,
         };
         let key = |frozen: &FrozenTokens| (frozen.slot.clone(), frozen.tenure);
-        let place = self
+        let index = self
             .frozen
             .partition_point(|other| key(other) < key(&frozen));
-        self.frozen.insert(place, frozen);
+        self.frozen.insert(index, frozen);
     }
 
-    /// Settles `spent` of the frozen tokens at `place`; the rest is unspent.
-    fn thaw(&self, place: usize, spent: TokenCount) -> Self {
+    /// Removes the frozen tokens at `index` and settles `spent` of them, at most
+    /// all; the others become available again.
+    fn settle_frozen(&self, index: usize, spent: TokenCount) -> Self {
         let mut row = self.clone();
-        let frozen = row.frozen.remove(place);
+        let frozen = row.frozen.remove(index);
         row.settled = row.settled.saturating_add(spent.min(frozen.tokens));
         row.update_paid();
         row
     }
 
+    /// Outcome for a tenure without frozen tokens: an error if its grant has not
+    /// been closed yet, otherwise nothing to change.
     fn nothing_frozen(&self, slot: &SlotId, tenure: SlotEpoch) -> Result<RowChange, RowError> {
         match self.grant(slot) {
             Some(grant) if grant.tenure <= tenure => Err(RowError::NotClosed),
@@ -117,7 +126,7 @@
         }
     }
 
-    fn frozen_place(&self, slot: &SlotId, tenure: SlotEpoch) -> Option<usize> {
+    fn frozen_index(&self, slot: &SlotId, tenure: SlotEpoch) -> Option<usize> {
         self.frozen
             .iter()
             .position(|frozen| frozen.slot == *slot && frozen.tenure == tenure)
--- a/crates/guavawell-core/src/budget/witness.rs
+++ b/crates/guavawell-core/src/budget/witness.rs
@@ -1,10 +1,10 @@
-//! The witness of a slot: acknowledges its holder's records, and takes the
-//! slot over when the holder is gone.
+//! The witness of a slot: keeps a replica of the holder's ledger and takes the slot
+//! over when the holder fails or leaves.
 //!
-//! A witness keeps no more than memory. One that restarted has a new
-//! incarnation and no ledger, so it refuses. Once it stopped in order to take
-//! over, it never acknowledges under that epoch again, whatever the table
-//! answers: a write whose answer was lost may take effect late.
+//! A witness keeps its replicas in memory only. After a restart it has a new
+//! incarnation and no replica, so it refuses records. Once it has stopped in order
+//! to take over, it never acknowledges records of that epoch again, whatever the
+//! table answers, because a write whose response was lost may take effect later.
 
 use super::intent::TableIntent;
 use super::ledger::SlotLedger;
@@ -16,53 +16,53 @@
 use super::record::WitnessMessage;
 use super::record::WitnessRecord;
 use super::record::WitnessRefusal;
-use super::slot::InstanceLife;
+use super::slot::InstanceIncarnation;
 use super::slot::SlotId;
 use super::slot::SlotRow;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 use crate::id::SlotEpoch;
 
-/// What a witness is told.
+/// Input to a witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WitnessEvent {
-    /// The holder sends a batch.
+    /// The holder sent a batch of entries.
     Record(WitnessRecord),
-    /// A holder hands its ledger over.
+    /// A holder sent its whole ledger.
     Handover(LedgerHandover),
-    /// Take the slot over; the row as read from the table just now.
+    /// Take the slot over; contains the slot row as just read from the table.
     TakeOver(SlotRow),
-    /// The slot row as it is after [`TableIntent::WriteSlot`] or
-    /// [`TableIntent::ReadSlot`].
+    /// The slot row after [`TableIntent::WriteSlot`] or [`TableIntent::ReadSlot`].
     SlotRead(SlotRow),
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// What a witness wants done.
+/// An action that the driver has to perform for a witness.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum WitnessEffect {
-    /// Send to the holder; loss is allowed.
-    Send(InstanceLife, WitnessMessage),
-    /// Carry out against the table, then tell the row.
+    /// Send a message to the holder; it may be lost.
+    Send(InstanceIncarnation, WitnessMessage),
+    /// Perform a table operation, then report the row as [`WitnessEvent::SlotRead`].
     Table(TableIntent),
-    /// The table names this instance as the holder: begin a
+    /// The slot row names this instance as the holder: start a
     /// [`SlotHolder`](super::SlotHolder) with this row and ledger.
     Begin(SlotRow, Box<SlotLedger>),
 }
 
-/// One ledger that a holder entrusted to this witness.
+/// A replica of a holder's ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct EntrustedLedger {
+struct LedgerReplica {
     stamp: RecordStamp,
     handover: u64,
     sequence: u64,
     ledger: SlotLedger,
-    /// Once stopped, for good.
+    /// Whether the witness has stopped acknowledging records in order to take over.
+    /// Never reset.
     is_stopped: bool,
 }
 
-/// A takeover whose outcome is not known yet.
+/// A takeover whose outcome is unknown as yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingTakeover {
     expected: SlotRow,
@@ -73,38 +73,43 @@
 /// The witness of one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlotWitness {
-    life: InstanceLife,
+    incarnation: InstanceIncarnation,
     slot: SlotId,
-    retry: ClockSpan,
-    /// Ledgers by epoch: the one that the table names, and those that it may
-    /// name soon.
-    ledgers: Vec<EntrustedLedger>,
+    retry_interval: ClockSpan,
+    /// The replica for the current slot row, and those for rows that the holder is
+    /// about to write.
+    replicas: Vec<LedgerReplica>,
     takeover: Option<PendingTakeover>,
-    /// The highest epoch that the table is known to have named. A ledger of
-    /// this epoch or before may have been given up, so none is taken in: a
-    /// late handover would bring a stopped witness back to life.
-    named: SlotEpoch,
+    /// The highest epoch known to have been in the slot row. New replicas of this
+    /// epoch or an earlier one are not accepted: this witness may have stopped and
+    /// dropped that replica before, and after a late handover it would acknowledge
+    /// records again.
+    latest_epoch: SlotEpoch,
 }
 
 impl SlotWitness {
-    /// A witness without a ledger; `retry` is the time between two tries of
-    /// a takeover whose answer is missing.
+    /// Creates a witness without a replica. `retry_interval` is the time after which
+    /// an unanswered takeover is sent again.
     ///
-    /// The instance keeps it for its whole life, also while it has no ledger:
-    /// what it gave up must not come back.
+    /// The instance must keep the witness until it stops, even while it has no
+    /// replica: a new one would accept late handovers of replicas that were dropped.
     #[must_use]
-    pub const fn new(life: InstanceLife, slot: SlotId, retry: ClockSpan) -> Self {
+    pub const fn new(
+        incarnation: InstanceIncarnation,
+        slot: SlotId,
+        retry_interval: ClockSpan,
+    ) -> Self {
         Self {
-            life,
+            incarnation,
             slot,
-            retry,
-            ledgers: Vec::new(),
+            retry_interval,
+            replicas: Vec::new(),
             takeover: None,
-            named: SlotEpoch::new(0),
+            latest_epoch: SlotEpoch::new(0),
         }
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `effects`.
     pub fn handle(
         &mut self,
         event: WitnessEvent,
@@ -112,80 +117,80 @@
         effects: &mut Vec<WitnessEffect>,
     ) {
         match event {
-            WitnessEvent::Record(record) => self.take_record(&record, effects),
-            WitnessEvent::Handover(handover) => self.take_handover(handover, effects),
+            WitnessEvent::Record(record) => self.apply_record(&record, effects),
+            WitnessEvent::Handover(handover) => self.accept_handover(handover, effects),
             WitnessEvent::TakeOver(row) => self.take_over(&row, now, effects),
-            WitnessEvent::SlotRead(row) => self.take_row(&row, effects),
+            WitnessEvent::SlotRead(row) => self.apply_row(&row, effects),
             WitnessEvent::Tick => self.tick(now, effects),
         }
     }
 
-    /// Whether it keeps a ledger.
+    /// Whether it has a replica of a ledger.
     #[must_use]
     pub const fn has_ledger(&self) -> bool {
-        !self.ledgers.is_empty()
+        !self.replicas.is_empty()
     }
 
-    /// Whether it has stopped in order to take the slot over.
+    /// Whether a takeover is in progress.
     #[must_use]
     pub const fn is_taking_over(&self) -> bool {
         self.takeover.is_some()
     }
 
-    fn take_record(&mut self, record: &WitnessRecord, effects: &mut Vec<WitnessEffect>) {
+    fn apply_record(&mut self, record: &WitnessRecord, effects: &mut Vec<WitnessEffect>) {
         let stamp = record.stamp.clone();
         let found = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| entrusted.stamp == stamp);
-        let Some(place) = found.filter(|_| stamp.witness == self.life) else {
+            .position(|replica| replica.stamp == stamp);
+        let Some(index) = found.filter(|_| stamp.witness == self.incarnation) else {
             return refuse(stamp, RefusalReason::UnknownStamp, effects);
         };
-        let entrusted = &mut self.ledgers[place];
-        if entrusted.is_stopped {
+        let replica = &mut self.replicas[index];
+        if replica.is_stopped {
             return refuse(stamp, RefusalReason::Stopped, effects);
         }
-        if record.sequence > entrusted.sequence + 1 {
+        if record.sequence > replica.sequence + 1 {
             return refuse(stamp, RefusalReason::Gap, effects);
         }
-        if record.sequence == entrusted.sequence + 1 {
-            entrusted.sequence = record.sequence;
+        if record.sequence == replica.sequence + 1 {
+            replica.sequence = record.sequence;
             for entry in &record.entries {
-                entrusted.ledger.apply(entry);
+                replica.ledger.apply(entry);
             }
         }
         let ack = WitnessAck {
-            sequence: entrusted.sequence,
+            sequence: replica.sequence,
             stamp: stamp.clone(),
         };
-        self.forget_before(&stamp);
+        self.drop_older_replicas(&stamp);
         effects.push(WitnessEffect::Send(stamp.holder, WitnessMessage::Ack(ack)));
     }
 
-    /// A record under an epoch proves that the table named it: ledgers of
-    /// former epochs are of no use any more.
-    fn forget_before(&mut self, stamp: &RecordStamp) {
-        self.named = self.named.max(stamp.epoch);
-        self.ledgers
-            .retain(|entrusted| entrusted.stamp.epoch >= stamp.epoch);
+    /// Drops the replicas of earlier epochs, which are obsolete: a record of an epoch
+    /// proves that the slot row has reached that epoch.
+    fn drop_older_replicas(&mut self, stamp: &RecordStamp) {
+        self.latest_epoch = self.latest_epoch.max(stamp.epoch);
+        self.replicas
+            .retain(|replica| replica.stamp.epoch >= stamp.epoch);
     }
 
-    fn take_handover(&mut self, handover: LedgerHandover, effects: &mut Vec<WitnessEffect>) {
+    fn accept_handover(&mut self, handover: LedgerHandover, effects: &mut Vec<WitnessEffect>) {
         let stamp = handover.stamp;
-        if stamp.witness != self.life {
+        if stamp.witness != self.incarnation {
             return;
         }
         let known = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| entrusted.stamp == stamp);
+            .position(|replica| replica.stamp == stamp);
         match known {
-            Some(place) if self.ledgers[place].handover > handover.handover => return,
-            Some(place) if self.ledgers[place].handover == handover.handover => {}
-            _ if stamp.epoch <= self.named => return,
+            Some(index) if self.replicas[index].handover > handover.handover => return,
+            Some(index) if self.replicas[index].handover == handover.handover => {}
+            _ if stamp.epoch <= self.latest_epoch => return,
             _ => {
-                self.ledgers.retain(|entrusted| entrusted.stamp != stamp);
-                self.ledgers.push(EntrustedLedger {
+                self.replicas.retain(|replica| replica.stamp != stamp);
+                self.replicas.push(LedgerReplica {
                     stamp: stamp.clone(),
                     handover: handover.handover,
                     sequence: 0,
@@ -202,19 +207,20 @@
         effects.push(WitnessEffect::Send(stamp.holder, message));
     }
 
-    /// Stops first, then closes the epoch in the table.
+    /// Stops acknowledging records, then writes a slot row that names this instance as
+    /// the holder.
     fn take_over(&mut self, row: &SlotRow, now: ClockTime, effects: &mut Vec<WitnessEffect>) {
-        let named = self
-            .ledgers
+        let current = self
+            .replicas
             .iter_mut()
-            .find(|entrusted| is_named(&entrusted.stamp, row));
-        let Some(entrusted) = named else {
+            .find(|replica| matches_row(&replica.stamp, row));
+        let Some(replica) = current else {
             return;
         };
-        entrusted.is_stopped = true;
+        replica.is_stopped = true;
         self.takeover = Some(PendingTakeover {
             expected: row.clone(),
-            row: row.with_holder(self.life.clone()),
+            row: row.with_holder(self.incarnation.clone()),
             sent_at: now,
         });
         self.send_takeover(effects);
@@ -230,8 +236,8 @@
         }
     }
 
-    fn take_row(&mut self, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
-        self.named = self.named.max(row.epoch);
+    fn apply_row(&mut self, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
+        self.latest_epoch = self.latest_epoch.max(row.epoch);
         if let Some(takeover) = &self.takeover {
             if row.epoch <= takeover.expected.epoch {
                 return;
@@ -242,18 +248,17 @@
             }
             self.takeover = None;
         }
-        self.ledgers.retain(|entrusted| {
-            entrusted.stamp.epoch > row.epoch || is_named(&entrusted.stamp, row)
-        });
+        self.replicas
+            .retain(|replica| replica.stamp.epoch > row.epoch || matches_row(&replica.stamp, row));
     }
 
     fn begin(&mut self, ended: &SlotRow, row: &SlotRow, effects: &mut Vec<WitnessEffect>) {
         let found = self
-            .ledgers
+            .replicas
             .iter()
-            .position(|entrusted| is_named(&entrusted.stamp, ended));
-        if let Some(place) = found {
-            let mut ledger = self.ledgers.remove(place).ledger;
+            .position(|replica| matches_row(&replica.stamp, ended));
+        if let Some(index) = found {
+            let mut ledger = self.replicas.remove(index).ledger;
             ledger.begin_tenure(row.tenure);
             effects.push(WitnessEffect::Begin(row.clone(), Box::new(ledger)));
         }
@@ -263,14 +268,15 @@
         let Some(takeover) = &mut self.takeover else {
             return;
         };
-        if now.since(takeover.sent_at) >= self.retry {
+        if now.since(takeover.sent_at) >= self.retry_interval {
             takeover.sent_at = now;
             self.send_takeover(effects);
         }
     }
 }
 
-fn is_named(stamp: &RecordStamp, row: &SlotRow) -> bool {
+/// Whether the epoch, holder and witness of a stamp are those of a slot row.
+fn matches_row(stamp: &RecordStamp, row: &SlotRow) -> bool {
     stamp.epoch == row.epoch
         && stamp.holder == row.holder
         && row.witness.as_ref() == Some(&stamp.witness)
--- a/crates/guavawell-core/src/request/billing/doubt.rs
+++ b/crates/guavawell-core/src/request/billing/doubt.rs
@@ -1,7 +1,7 @@
 //! Resolves requests in doubt. Their tokens are reserved and they may have been
 //! sent, but their router is gone and did not settle them.
 
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::id::AttemptId;
 use crate::id::BackendId;
 use crate::id::BudgetId;
@@ -21,7 +21,7 @@
     /// The reserved tokens: the largest possible cost.
     pub reserved: TokenCount,
     /// The router that ran the attempt.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// The backend server, if the router reported it before it was gone.
     pub backend: Option<BackendId>,
     /// Whether nobody requests the answer any more.
--- a/crates/guavawell-core/src/request/claim/row.rs
+++ b/crates/guavawell-core/src/request/claim/row.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::budget::InstanceLife;
+use crate::budget::InstanceIncarnation;
 use crate::clock::ClockTime;
 use crate::id::AttemptId;
 use crate::request::identity::RequestIdentity;
@@ -29,7 +29,7 @@
     /// compares it to find out whether that write was applied.
     pub attempt: AttemptId,
     /// The router that wrote the row.
-    pub router: InstanceLife,
+    pub router: InstanceIncarnation,
     /// Time of the write by the clock of that router, for operators only.
     pub at: ClockTime,
 }
--- a/crates/guavawell-core/tests/budget_rows.rs
+++ b/crates/guavawell-core/tests/budget_rows.rs
@@ -1,4 +1,4 @@
-//! The budget row's rules, one by one.
+//! Tests each rule of the budget row in isolation.
 
 use guavawell_core::budget::BudgetRow;
 use guavawell_core::budget::FormerUse;
@@ -35,7 +35,7 @@
     )
 }
 
-/// A change of the first tenure that needs `need` tokens.
+/// A change by the holder of the first tenure that requests `need` tokens.
 fn change(sequence: u64, need: u64) -> GrantChange {
     GrantChange {
         slot: slot(),
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn a_change_counts_once() {
+fn a_repeated_change_is_not_applied_again() {
     let granted = written(row(100).change_grant(&change(1, 40)));
     assert_eq!(open(&granted), 40);
     assert_eq!(granted.change_grant(&change(1, 40)), Ok(RowChange::Applied));
 }
 
 #[test]
-fn a_need_is_met_as_far_as_the_rest_goes_and_a_wish_shrinks_towards_the_end() {
+fn a_need_is_granted_from_all_unspent_tokens_and_a_want_from_a_share() {
     let granted = written(row(100).change_grant(&change(1, 500)));
     assert_eq!(open(&granted), 100);
-    let wish = GrantChange {
+    let want_only = GrantChange {
         need: tokens(0),
         ..change(1, 500)
     };
-    assert_eq!(open(&written(row(100).change_grant(&wish))), 50);
+    assert_eq!(open(&written(row(100).change_grant(&want_only))), 50);
 }
 
 #[test]
-fn settled_use_and_hand_back_leave_the_grant() {
+fn settled_and_returned_tokens_are_deducted_from_the_grant() {
     let granted = written(row(100).change_grant(&change(1, 40)));
     let back = GrantChange {
         settled: tokens(10),
@@ -104,8 +104,9 @@
     assert_eq!(after.change_grant(&too_much), Err(RowError::GrantOverdrawn));
 }
 
-/// A holder of tenure 2 takes over from one that spent 5 of its float of 15
-/// and 10 of the rest, as the witness knows.
+/// The row after the holder of tenure 2 took over from the holder of tenure 1. The
+/// witness knows that tenure 1 charged 5 tokens to its float of 15 and 10 tokens to
+/// the witnessed part.
 fn taken_over() -> BudgetRow {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let counters = TenureCounters {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_takeover_settles_what_is_known_and_freezes_the_float() {
+fn a_takeover_settles_known_charges_and_freezes_the_float() {
     let row = taken_over();
     assert_eq!((open(&row), row.settled), (35, tokens(15)));
     assert_eq!(row.frozen[0].tokens, tokens(10));
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_late_report_counts_once_and_never_beyond_the_frozen_tokens() {
+fn a_late_report_is_applied_once_and_never_exceeds_the_frozen_tokens() {
     let row = taken_over();
     let report = FrozenReport {
         slot: slot(),
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_reclaim_without_proof_charges_everything() {
+fn a_reclaim_without_proof_charges_all_frozen_tokens() {
     let reclaim = FrozenReclaim {
         slot: slot(),
         tenure: SlotEpoch::new(1),
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_loss_of_holder_and_witness_freezes_the_whole_grant() {
+fn losing_holder_and_witness_freezes_the_whole_grant() {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let close = GrantChange {
         tenure: SlotEpoch::new(2),
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn top_ups_count_once_and_a_lowered_base_never_cuts_what_is_committed() {
+fn top_ups_are_added_once_and_a_lowered_base_never_cuts_committed_tokens() {
     let granted = written(row(100).change_grant(&change(1, 60)));
     let id: TopUpId = "may".parse().unwrap();
     let raised = written(granted.top_up(&id, tokens(30)));
