--- a/crates/guavawell-core/src/forward/age.rs
+++ b/crates/guavawell-core/src/forward/age.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedAge {
     /// When the latest answered poll was sent.
-    checked_at: Option<ClockTime>,
+    confirmed_at: Option<ClockTime>,
     /// Whether the store is known not to respond at present.
     store_unreachable: bool,
 }
@@ -24,32 +24,32 @@
 impl FeedAge {
     /// The age of data whose poll was sent at `at`.
     #[must_use]
-    pub const fn checked(at: ClockTime) -> Self {
+    pub const fn confirmed(at: ClockTime) -> Self {
         Self {
-            checked_at: Some(at),
+            confirmed_at: Some(at),
             store_unreachable: false,
         }
     }
 
     /// Records a response to a poll sent at `sent_at`. The response to an earlier
     /// poll than the latest answered one changes nothing.
-    pub fn check(&mut self, sent_at: ClockTime) {
-        if self.checked_at < Some(sent_at) {
-            *self = Self::checked(sent_at);
+    pub fn confirm(&mut self, sent_at: ClockTime) {
+        if self.confirmed_at < Some(sent_at) {
+            *self = Self::confirmed(sent_at);
         }
     }
 
     /// Records that another instance confirmed the data as of `at`. This does
     /// not show that the store responds to this instance.
-    pub fn check_by_instance(&mut self, at: ClockTime) {
-        self.checked_at = self.checked_at.max(Some(at));
+    pub fn confirm_by_instance(&mut self, at: ClockTime) {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// How long newer data may have existed without being known here; `None`
     /// before the first response.
     #[must_use]
     pub fn at(&self, now: ClockTime) -> Option<ClockSpan> {
-        Some(now.since(self.checked_at?))
+        Some(now.since(self.confirmed_at?))
     }
 
     /// Whether a request should wait briefly for an overdue response. After a
--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -274,8 +274,8 @@
 }
 
 /// Rank of a server for a prompt part or a suspect: the same at every instance.
-fn rank(part: u64, server: &BackendId) -> u64 {
-    let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
+fn rank(key: u64, server: &BackendId) -> u64 {
+    let mut hash = key ^ 0x9e37_79b9_7f4a_7c15;
     for byte in server.as_str().bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
--- a/crates/guavawell-core/src/forward/congestion.rs
+++ b/crates/guavawell-core/src/forward/congestion.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records a connection that was accepted or refused after `took`.
-    pub fn connected(&mut self, took: ClockSpan, now: ClockTime) {
+    pub fn answered(&mut self, took: ClockSpan, now: ClockTime) {
         let before = self
             .slow_streak
             .filter(|(_, last)| self.is_recent(*last, now));
@@ -66,7 +66,7 @@
     }
 
     /// Records a connection that timed out.
-    pub fn late(&mut self, now: ClockTime) {
+    pub fn timed_out(&mut self, now: ClockTime) {
         let streak = self
             .slow_streak
             .filter(|(_, last)| self.is_recent(*last, now));
--- a/crates/guavawell-core/src/forward/retry.rs
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -63,17 +63,17 @@
     }
 
     /// Whether one retry may be sent now; counts it if so.
-    pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RetryLimits) -> bool {
-        self.slice(service, now, settings.window);
+    pub fn take(&mut self, service: &ServiceId, now: ClockTime, limits: &RetryLimits) -> bool {
+        self.slice(service, now, limits.window);
         let slices = self.slices(service);
         let requests: u32 = slices.iter().map(|slice| slice.requests).sum();
         let retries: u32 = slices.iter().map(|slice| slice.retries).sum();
-        let shared = settings.extra / fraction(settings.instances.max(1) as u64);
-        let max_retries = settings.used_fraction * (settings.ratio * f64::from(requests) + shared);
+        let shared = limits.extra / fraction(limits.instances.max(1) as u64);
+        let max_retries = limits.used_fraction * (limits.ratio * f64::from(requests) + shared);
         if f64::from(retries) + 1.0 > max_retries {
             return false;
         }
-        self.slice(service, now, settings.window).retries += 1;
+        self.slice(service, now, limits.window).retries += 1;
         true
     }
 
--- a/crates/guavawell-core/src/forward/tracker.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -135,7 +135,7 @@
             // store would still return this version or a newer one.
             return self.revert(current, sent_at, now);
         }
-        self.age.check(sent_at);
+        self.age.confirm(sent_at);
         ConfigAction::Keep
     }
 
@@ -173,7 +173,7 @@
             return self.apply(version, ConfigSource::Instance, confirmed_at, now);
         }
         if self.version() == Some(version) {
-            self.age.check_by_instance(confirmed_at);
+            self.age.confirm_by_instance(confirmed_at);
         }
         ConfigAction::Keep
     }
@@ -187,8 +187,8 @@
     ) -> ConfigAction {
         self.set_current(version, source, now);
         match source {
-            ConfigSource::Store => self.age.check(confirmed_at),
-            ConfigSource::Instance => self.age.check_by_instance(confirmed_at),
+            ConfigSource::Store => self.age.confirm(confirmed_at),
+            ConfigSource::Instance => self.age.confirm_by_instance(confirmed_at),
         }
         ConfigAction::Apply
     }
@@ -204,7 +204,7 @@
         if let Some(version) = self.newest_stored {
             self.set_current(version, ConfigSource::Store, now);
         }
-        self.age = FeedAge::checked(sent_at);
+        self.age = FeedAge::confirmed(sent_at);
         ConfigAction::Revert
     }
 
--- a/crates/guavawell-core/tests/forward/congestion.rs
+++ b/crates/guavawell-core/tests/forward/congestion.rs
@@ -42,7 +42,7 @@
         };
         queue = (queue + (load - 1.0) * LINK_RATE / 100.0).clamp(0.0, QUEUE_SECONDS * LINK_RATE);
         let waits_ms = queue / LINK_RATE * 1_000.0;
-        link.connected(span(2 + whole(waits_ms)), now);
+        link.answered(span(2 + whole(waits_ms)), now);
         if overloaded {
             steps += 1.0;
             full += f64::from(u8::from(queue >= QUEUE_SECONDS * LINK_RATE * 0.9));
@@ -63,7 +63,7 @@
 fn a_short_burst_does_not_make_the_link_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..140 {
-        link.connected(span(300), later(step * 10));
+        link.answered(span(300), later(step * 10));
         assert!(!link.is_full(later(step * 10)));
     }
 }
@@ -72,10 +72,10 @@
 fn one_fast_connection_shows_that_the_link_is_not_full() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
-        link.connected(span(300), later(step * 10));
+        link.answered(span(300), later(step * 10));
     }
     assert!(link.is_full(later(2_000)));
-    link.connected(span(3), later(2_000));
+    link.answered(span(3), later(2_000));
     assert!(!link.is_full(later(2_000)));
 }
 
@@ -84,7 +84,7 @@
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..600 {
         let took = if step % 3 == 0 { 2 } else { 900 };
-        link.connected(span(took), later(step * 20));
+        link.answered(span(took), later(step * 20));
         assert!(!link.is_full(later(step * 20)));
     }
 }
@@ -93,12 +93,12 @@
 fn timeouts_count_only_after_slow_connections() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..300 {
-        link.late(later(step * 10));
+        link.timed_out(later(step * 10));
         assert!(!link.is_full(later(step * 10)));
     }
-    link.connected(span(300), later(3_000));
+    link.answered(span(300), later(3_000));
     for step in 300..500 {
-        link.late(later(step * 10));
+        link.timed_out(later(step * 10));
     }
     assert!(link.is_full(later(5_000)));
 }
@@ -107,11 +107,11 @@
 fn an_instance_without_connections_becomes_ready_again() {
     let mut link = LinkCongestion::new(CongestionSettings::default());
     for step in 0..200 {
-        link.connected(span(300), later(step * 10));
+        link.answered(span(300), later(step * 10));
     }
     assert!(link.is_full(later(2_900)));
     assert!(!link.is_full(later(3_000)));
     // A slow connection after a pause starts a new streak.
-    link.connected(span(300), later(9_000));
+    link.answered(span(300), later(9_000));
     assert!(!link.is_full(later(9_000)));
 }
--- a/crates/guavawell-core/tests/forward/retry.rs
+++ b/crates/guavawell-core/tests/forward/retry.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn six_instances_together_keep_to_the_allowance_of_the_fleet_in_any_window() {
-    let settings = RetryLimits::default();
-    let mut instances = vec![RetryAllowance::default(); settings.instances];
+    let limits = RetryLimits::default();
+    let mut instances = vec![RetryAllowance::default(); limits.instances];
     let mut sent: Vec<(u64, bool)> = Vec::new();
     let mut random = fastrand::Rng::with_seed(3);
     // Every request fails and needs a retry; the rate of requests is uneven.
@@ -18,15 +18,15 @@
         let now = START + ClockSpan::from_millis(millis);
         let burst = if millis % 20_000 < 5_000 { 3 } else { 1 };
         for _ in 0..burst {
-            let instance = &mut instances[random.usize(..settings.instances)];
-            instance.count_request(&service(), now, settings.window);
+            let instance = &mut instances[random.usize(..limits.instances)];
+            instance.count_request(&service(), now, limits.window);
             sent.push((millis, false));
-            if instance.take(&service(), now, &settings) {
+            if instance.take(&service(), now, &limits) {
                 sent.push((millis, true));
             }
         }
     }
-    let window = settings.window.as_millis();
+    let window = limits.window.as_millis();
     for begin in (0..60_000).step_by(500) {
         let inside = |(at, _): &&(u64, bool)| (begin..begin + window).contains(at);
         let retries = sent
@@ -50,8 +50,8 @@
 
 #[test]
 fn without_requests_only_the_share_of_the_fixed_number_is_allowed() {
-    let settings = RetryLimits::default();
+    let limits = RetryLimits::default();
     let mut allowance = RetryAllowance::default();
-    let taken = (0..100).filter(|_| allowance.take(&service(), START, &settings));
+    let taken = (0..100).filter(|_| allowance.take(&service(), START, &limits));
     assert_eq!(taken.count(), 6);
 }
--- a/crates/guavawell-forward/src/router.rs
+++ b/crates/guavawell-forward/src/router.rs
@@ -256,7 +256,7 @@
     /// answered.
     pub fn servers_checked(&self, asked: ClockTime) {
         let mut age = self.server_age.get();
-        age.check(asked);
+        age.confirm(asked);
         self.server_age.set(age);
         self.servers_answered.notify(usize::MAX);
     }
@@ -338,8 +338,8 @@
         let mut link = self.link_congestion.get();
         let before = link.is_full(now);
         match took {
-            Some(took) => link.connected(took, now),
-            None => link.late(now),
+            Some(took) => link.answered(took, now),
+            None => link.timed_out(now),
         }
         self.link_congestion.set(link);
         if before != link.is_full(now) {
