--- a/crates/guavawell-core/src/forward/age.rs
+++ b/crates/guavawell-core/src/forward/age.rs
@@ -15,14 +15,15 @@
 /// Age of polled data. Times are of a clock that includes suspensions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedAge {
-    /// When the latest answered poll was sent.
+    /// The time as of which the data was last confirmed: when the latest
+    /// answered poll was sent, by this instance or by another one.
     confirmed_at: Option<ClockTime>,
     /// Whether the store is known not to respond at present.
     store_unreachable: bool,
 }
 
 impl FeedAge {
-    /// The age of data whose poll was sent at `at`.
+    /// The age of data that the store confirmed as of `at`.
     #[must_use]
     pub const fn confirmed(at: ClockTime) -> Self {
         Self {
--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -24,8 +24,9 @@
 /// Cost of a server that is the last choice; exceeds the sum of all other
 /// costs.
 const AVOIDED_COST_MS: f64 = 1e6;
-/// Cost of a server that runs another suspect. Less than the cost of a server
-/// that probably does not respond.
+/// Cost of a server that runs another request suspected of crashing servers.
+/// Less than [`AVOIDED_COST_MS`], because an avoided server probably does not
+/// respond at all.
 const SUSPECT_COST_MS: f64 = 1e5;
 
 /// Weights of the cost of a server. Times are in milliseconds.
--- a/crates/guavawell-core/src/forward/congestion.rs
+++ b/crates/guavawell-core/src/forward/congestion.rs
@@ -21,7 +21,8 @@
     /// A connection that takes longer has waited in a queue.
     pub slow_connect: ClockSpan,
     /// How long there must be only slow connections before the link counts as
-    /// full. A short burst then sends no caller away.
+    /// full. A shorter burst of requests does not make the instance report that
+    /// it is not ready.
     pub full_after: ClockSpan,
     /// How long the last slow connection counts. An instance without new
     /// connections becomes ready again after this time.
--- a/crates/guavawell-core/src/forward/poll.rs
+++ b/crates/guavawell-core/src/forward/poll.rs
@@ -20,7 +20,7 @@
 /// A poll's wait is the time within which a change must be in force, divided by
 /// this.
 const WAIT_DIVISOR: u64 = 4;
-/// Shortest wait of a poll; shorter ones cost calls.
+/// Shortest wait of a poll; shorter ones cause more calls to the store.
 const MIN_WAIT_MS: u64 = 250;
 /// Longest wait of a poll; with longer ones a silent connection is noticed
 /// late.
--- a/crates/guavawell-core/src/forward/retry.rs
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -1,8 +1,9 @@
 //! Allowance for retries.
 //!
 //! In any window, the whole fleet may retry a fixed fraction of a service's
-//! requests plus a fixed number. Each instance keeps to its share of both, so
-//! that instances need no coordination.
+//! requests plus a fixed number. Each instance applies the fraction to the
+//! requests that it received itself and has an equal part of the fixed number,
+//! so that instances need no coordination.
 
 use std::collections::VecDeque;
 
@@ -25,8 +26,10 @@
     pub window: ClockSpan,
     /// Number of instances that share `extra`.
     pub instances: usize,
-    /// Fraction of the allowance that is used. The rest is a margin for windows
-    /// that include a retry but not all requests that it was counted against.
+    /// Fraction of the allowance that an instance uses. It counts the window
+    /// that ends at a retry; a later window may include that retry but not all
+    /// requests that allowed it. The unused rest keeps such a window within the
+    /// allowance as well.
     pub used_fraction: f64,
 }
 
--- a/crates/guavawell-core/src/forward/tracker.rs
+++ b/crates/guavawell-core/src/forward/tracker.rs
@@ -93,7 +93,8 @@
         &self.age
     }
 
-    /// The same, for recording polls without a response.
+    /// Mutable access to [`age`](Self::age), for recording polls without a
+    /// response.
     pub const fn age_mut(&mut self) -> &mut FeedAge {
         &mut self.age
     }
