--- a/crates/guavawell-core/src/grant/ledger.rs
+++ b/crates/guavawell-core/src/grant/ledger.rs
@@ -190,10 +190,10 @@
     }
 
     /// Records the store's time from the answer to a call that was sent at the
-    /// local time `asked`.
-    pub fn record_store_time(&mut self, store: ClockTime, asked: ClockTime, now: ClockTime) {
-        self.clock.tell(store, now);
-        self.previous_end.tell(store, asked);
+    /// local time `sent_at`.
+    pub fn record_store_time(&mut self, store: ClockTime, sent_at: ClockTime, now: ClockTime) {
+        self.clock.observe(store, now);
+        self.previous_end.observe(store, sent_at);
     }
 
     /// Sets the usual latency of the store.
--- a/crates/guavawell-core/src/grant/store_clock.rs
+++ b/crates/guavawell-core/src/grant/store_clock.rs
@@ -38,9 +38,9 @@
     }
 
     /// Records the store's time from the answer to a call that was sent at the
-    /// local time `asked`.
-    pub fn tell(&mut self, store: ClockTime, asked: ClockTime) {
-        let passed = min_elapsed(asked.since(self.started)).as_millis();
+    /// local time `sent_at`.
+    pub fn observe(&mut self, store: ClockTime, sent_at: ClockTime) {
+        let passed = min_elapsed(sent_at.since(self.started)).as_millis();
         let bound = ClockTime::from_millis(store.as_millis().saturating_sub(passed));
         self.bound = Some(self.bound.map_or(bound, |known| known.min(bound)));
     }
@@ -66,7 +66,7 @@
 impl StoreClock {
     /// Records the store's time from an answer received at the local time
     /// `now`.
-    pub fn tell(&mut self, store: ClockTime, now: ClockTime) {
+    pub fn observe(&mut self, store: ClockTime, now: ClockTime) {
         if self.now(now).is_none_or(|known| store > known) {
             self.observed = Some((store, now));
         }
--- a/crates/guavawell-forward/src/poison/mod.rs
+++ b/crates/guavawell-forward/src/poison/mod.rs
@@ -201,7 +201,7 @@
         let now = self.clock.now();
         if let Some(time) = time {
             let mut clock = self.store_clock.get();
-            clock.tell(time, now);
+            clock.observe(time, now);
             self.store_clock.set(clock);
         }
         let own = key == self.instance.as_str();
