--- a/crates/guavawell-core/src/poison/server.rs
+++ b/crates/guavawell-core/src/poison/server.rs
@@ -17,8 +17,8 @@
 impl ServerTag {
     /// The tag of one incarnation of a server.
     #[must_use]
-    pub fn of(life: &ServerIncarnation) -> Self {
-        let hash = blake3::hash(life.to_string().as_bytes());
+    pub fn of(incarnation: &ServerIncarnation) -> Self {
+        let hash = blake3::hash(incarnation.to_string().as_bytes());
         let [first, second, third, fourth, ..] = *hash.as_bytes();
         // Zero is reserved for an empty place.
         Self(u32::from_le_bytes([first, second, third, fourth]).max(1))
--- a/crates/guavawell-core/src/poison/shared.rs
+++ b/crates/guavawell-core/src/poison/shared.rs
@@ -31,7 +31,8 @@
 pub struct SuspicionList {
     /// The store's monotonic time when the list was written. `None` in a message
     /// between instances.
-    pub told_at: Option<ClockTime>,
+    #[serde(rename = "told_at")]
+    pub written_at: Option<ClockTime>,
     /// The suspicions, with their ages at that time.
     pub entries: Vec<SharedSuspicion>,
 }
@@ -40,8 +41,8 @@
     /// The entries with their ages advanced to the store's time `now`. If either
     /// time is unknown, the ages stay as they were sent.
     pub fn aged(&self, now: Option<ClockTime>) -> impl Iterator<Item = SharedSuspicion> {
-        let passed = match (self.told_at, now) {
-            (Some(told), Some(now)) => now.since(told),
+        let passed = match (self.written_at, now) {
+            (Some(written), Some(now)) => now.since(written),
             _ => ClockSpan::default(),
         };
         self.entries.iter().map(move |entry| SharedSuspicion {
--- a/crates/guavawell-core/tests/poison/table.rs
+++ b/crates/guavawell-core/tests/poison/table.rs
@@ -203,7 +203,7 @@
         age,
     };
     let list = SuspicionList {
-        told_at: Some(later(0)),
+        written_at: Some(later(0)),
         entries: vec![suspicion(ClockSpan::default())],
     };
     let ages = |now| -> Vec<u64> { list.aged(now).map(|entry| entry.age.as_millis()).collect() };
@@ -304,7 +304,7 @@
         let mut entries = table.published_entries(later(3_600_000));
         entries.truncate(count);
         let list = SuspicionList {
-            told_at: Some(later(3_600_000)),
+            written_at: Some(later(3_600_000)),
             entries,
         };
         encode_row(&list).expect("a row").len()
--- a/crates/guavawell-forward/src/budget/suspects.rs
+++ b/crates/guavawell-forward/src/budget/suspects.rs
@@ -46,7 +46,7 @@
 
     async fn send_suspects(self: Rc<Self>, address: SocketAddr, entries: Vec<SharedSuspicion>) {
         let list = SuspicionList {
-            told_at: None,
+            written_at: None,
             entries,
         };
         let request = PeerRequest::Suspects(list);
--- a/crates/guavawell-forward/src/poison/publish.rs
+++ b/crates/guavawell-forward/src/poison/publish.rs
@@ -54,7 +54,7 @@
     async fn write_row(&self) -> Result<bool, StoreFault> {
         let now = self.clock.now();
         let list = SuspicionList {
-            told_at: self.store_clock.get().now(now),
+            written_at: self.store_clock.get().now(now),
             entries: self.table.borrow().published_entries(now),
         };
         let bytes =
