--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -49,7 +49,7 @@
 /// A poll that was sent, with its response once there is one.
 struct OpenPoll {
     instance: usize,
-    incarnation: u32,
+    boot: u32,
     sent_at: ClockTime,
     /// Newest version that the sender had read from the store.
     known_version: Option<u64>,
@@ -62,7 +62,7 @@
 #[derive(Default)]
 struct InstanceState {
     tracker: VersionTracker,
-    incarnation: u32,
+    boot: u32,
     /// Newest version that this incarnation read from the store, decodable or
     /// not.
     known_version: Option<u64>,
@@ -72,7 +72,7 @@
     /// When the version in force was applied.
     applied_at: ClockTime,
     /// Whether this incarnation polled the faulty instance.
-    asked_faulty: bool,
+    polled_faulty: bool,
     violation: Option<String>,
 }
 
@@ -141,19 +141,19 @@
     }
 
     fn restart(&mut self, index: usize) {
-        let incarnation = self.instances[index].incarnation + 1;
+        let boot = self.instances[index].boot + 1;
         self.instances[index] = InstanceState {
-            incarnation,
+            boot,
             ..InstanceState::default()
         };
     }
 
     fn send_poll(&mut self, instance: usize, target: Option<usize>) {
         let state = &mut self.instances[instance];
-        state.asked_faulty |= target == Some(INSTANCES);
+        state.polled_faulty |= target == Some(INSTANCES);
         self.open_polls.push(OpenPoll {
             instance,
-            incarnation: state.incarnation,
+            boot: state.boot,
             sent_at: self.now,
             known_version: state.known_version,
             target,
@@ -203,7 +203,7 @@
             return;
         };
         let poll = self.open_polls.swap_remove(index);
-        if self.instances[poll.instance].incarnation == poll.incarnation {
+        if self.instances[poll.instance].boot == poll.boot {
             self.apply_response(&poll);
         }
     }
@@ -298,7 +298,7 @@
             if tracker.confirmed_version().is_some_and(is_false) {
                 return fail("a false version counts as read from the store");
             }
-            if tracker.version().is_some_and(is_false) && !state.asked_faulty {
+            if tracker.version().is_some_and(is_false) && !state.polled_faulty {
                 return fail("a false version was passed on by a correct instance");
             }
             let (Some(version), Some(age)) =
