--- a/crates/guavawell-core/src/grant/early_share.rs
+++ b/crates/guavawell-core/src/grant/early_share.rs
@@ -1,8 +1,8 @@
 //! Tokens that spend limits release before their late rate applies.
 //!
 //! Load pattern: all instances lose power at the same moment and are back after
-//! one or two seconds. Everything that their limits released by then is frozen,
-//! spent or not. An outage of the store that starts for all instances at once
+//! one or two seconds. Everything that their limits released by then stays
+//! charged, spent or not. An outage of the store that starts for all instances at once
 //! looks the same for that long, and in it the fleet needs what callers request
 //! in these seconds, but no more.
 //!
--- a/crates/guavawell-core/src/grant/ledger.rs
+++ b/crates/guavawell-core/src/grant/ledger.rs
@@ -35,7 +35,7 @@
     /// The early rate of all spend limits, as a multiple of the fleet's recent
     /// demand. A crash freezes what it releases until the next boot.
     pub early_rate_factor: f64,
-    /// The late rate, as a multiple of recent demand.
+    /// The late rate, as a multiple of the instance's recent demand.
     pub late_rate_factor: f64,
     /// The late rate releases the whole stock in this many seconds or less.
     pub late_drain_seconds: f64,
@@ -190,7 +190,7 @@
     }
 
     /// Records the store's time from the answer to a call that was sent at the
-    /// local time `sent_at`.
+    /// local time `sent_at`, after this process started (see [`StartBound`]).
     pub fn record_store_time(&mut self, store: ClockTime, sent_at: ClockTime, now: ClockTime) {
         self.clock.observe(store, now);
         self.previous_end.observe(store, sent_at);
--- a/crates/guavawell-core/src/grant/loan.rs
+++ b/crates/guavawell-core/src/grant/loan.rs
@@ -37,7 +37,8 @@
 /// itself, and what all lenders keep is refused to callers when a budget runs
 /// out.
 const LENDER_RESERVE_SECONDS: u64 = 1;
-/// How long no instance is asked again for as much as all of them declined.
+/// How long no further loan of as many tokens or more is requested after all
+/// other instances declined one.
 const DECLINED_RETRY_AFTER: ClockSpan = ClockSpan::from_millis(400);
 /// Smallest loan: one part in this many of what is needed. At the start of an
 /// outage, several lenders together can cover a large request.
--- a/crates/guavawell-core/src/grant/plan.rs
+++ b/crates/guavawell-core/src/grant/plan.rs
@@ -22,9 +22,11 @@
 
 impl GrantLedger {
     /// Records a read of the limit row, or the row returned with a rejected
-    /// write. The call must have been sent after this process started.
+    /// write. The call must have been sent after this process started. The
+    /// previous one had ended by then, and the store's time in the answer bounds
+    /// when (see [`GrantLedger::record_store_time`]).
     ///
-    /// Returns false if the row belongs to a later boot.
+    /// Returns false if another process has started a later boot.
     pub fn limits_read(&mut self, version: u64, row: Option<LimitRow>) -> bool {
         self.limits.row_read(version, row);
         let Some(row) = self.limits.known() else {
--- a/crates/guavawell-core/src/grant/store_clock.rs
+++ b/crates/guavawell-core/src/grant/store_clock.rs
@@ -15,11 +15,14 @@
 }
 
 /// An upper bound on the store's time when this process started. The previous
-/// process of the instance had ended by then.
+/// process of the instance had ended by then, so the bound also limits what it
+/// can have spent.
 ///
-/// The store reads its clock after a call was sent, so the local time between
-/// the start and the call is subtracted from the reading. The bound therefore
-/// gets no later if the store cannot be reached for seconds after a start.
+/// Only answers to calls that were sent after the start count: the store reads
+/// its clock after a call was sent, so such a reading is never earlier than the
+/// end of the previous process. The local time between the start and the call
+/// is subtracted from the reading. The bound therefore gets no later if the
+/// store cannot be reached for seconds after a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartBound {
     started: ClockTime,
@@ -38,7 +41,8 @@
     }
 
     /// Records the store's time from the answer to a call that was sent at the
-    /// local time `sent_at`.
+    /// local time `sent_at`, which must not be before the start: an earlier
+    /// reading would charge the previous process for too little.
     pub fn observe(&mut self, store: ClockTime, sent_at: ClockTime) {
         let passed = min_elapsed(sent_at.since(self.started)).as_millis();
         let bound = ClockTime::from_millis(store.as_millis().saturating_sub(passed));
