--- a/crates/guavawell-core/src/poison/mod.rs
+++ b/crates/guavawell-core/src/poison/mod.rs
@@ -7,8 +7,8 @@
 //! Therefore only consecutive crashes count: an attempt counts if it started
 //! after the previous crash was known and its own server crashed as well. A
 //! complete answer resets the count. A crash that several instances observe
-//! counts once, because a server incarnation can crash only once. If three servers
-//! that run a popular request fail together, its count is one, and the next
+//! counts once, because one incarnation of a server, from its start to its end,
+//! can crash only once. If three servers that run a popular request fail together, its count is one, and the next
 //! answer resets it to zero.
 //!
 //! The state per [`RequestFingerprint`] is a [`SuspicionMark`]. Marks are
--- a/crates/guavawell-core/src/poison/table.rs
+++ b/crates/guavawell-core/src/poison/table.rs
@@ -31,10 +31,11 @@
     /// How long after a complete answer crashes of the request are ignored. A
     /// crash that preceded the answer may become known only after it.
     pub answer_span: ClockSpan,
-    /// Number of recent answers remembered. Popular requests occur in any
-    /// thousand answers.
+    /// Number of recent answers remembered. A popular request is answered at
+    /// least once in any thousand answers, so it stays among them.
     pub max_answers: usize,
-    /// Most entries in the table, about 40 bytes each.
+    /// Most entries in the table. An entry takes 64 bytes: 57 of fields, aligned
+    /// to 16.
     pub max_requests: usize,
     /// Most entries of one organisation, so that none can evict those of others.
     pub max_requests_per_organisation: usize,
