--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -63,15 +63,15 @@
 struct InstanceState {
     tracker: VersionTracker,
     boot: u32,
-    /// Newest version that this incarnation read from the store, decodable or
+    /// Newest version read from the store since the last restart, decodable or
     /// not.
     known_version: Option<u64>,
-    /// Highest version in force in this incarnation, without versions that the
-    /// store turned out not to have.
+    /// Highest version in force since the last restart, without versions that
+    /// the store turned out not to have.
     highest_version: Option<u64>,
     /// When the version in force was applied.
     applied_at: ClockTime,
-    /// Whether this incarnation polled the faulty instance.
+    /// Whether the faulty instance was polled since the last restart.
     polled_faulty: bool,
     violation: Option<String>,
 }
