--- a/crates/guavawell-core/src/limits/concurrency.rs
+++ b/crates/guavawell-core/src/limits/concurrency.rs
@@ -38,6 +38,7 @@
     max_limit: u32,
     /// The limit times [`SCALE`].
     scaled_limit: AtomicU32,
+    /// When the limit was last decreased, in milliseconds; 0 if it never was.
     last_decrease: AtomicU64,
 }
 
