--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -109,11 +109,11 @@
             1 if random.u32(..6) == 0 => self.restart(random.usize(..INSTANCES)),
             2..=5 => self.send_poll(random.usize(..INSTANCES), None),
             6 | 7 => {
-                let asker = random.usize(..INSTANCES);
+                let sender = random.usize(..INSTANCES);
                 // One past the last instance is the faulty one.
                 let target = random.usize(..=INSTANCES);
-                if target != asker {
-                    self.send_poll(asker, Some(target));
+                if target != sender {
+                    self.send_poll(sender, Some(target));
                 }
             }
             8..=11 => self.add_response(random),
--- a/crates/guavawell-core/tests/poison/fleet.rs
+++ b/crates/guavawell-core/tests/poison/fleet.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn it_is_stopped_while_racks_fail_and_instances_restart() {
+fn a_request_that_crashes_servers_is_stopped_while_racks_fail_and_instances_restart() {
     assert_meets_bounds(Scenario {
         rack_ms: 8_000,
         restart_ms: 3_000,
--- a/crates/guavawell-core/tests/poison/simulation.rs
+++ b/crates/guavawell-core/tests/poison/simulation.rs
@@ -268,10 +268,10 @@
         } else {
             RUN_MS
         };
-        let third = self
+        let all_informed = self
             .third_crash_at
             .is_some_and(|at| self.now > at + SPREAD_MS);
-        if fingerprint == CRASHER && third {
+        if fingerprint == CRASHER && all_informed {
             self.outcome.late += 1;
         }
         self.running.push(Attempt {
@@ -337,7 +337,7 @@
 
     /// A server crashes, and all its attempts fail.
     fn crash(&mut self, server: usize) {
-        let life = ServerTag::of(&ServerIncarnation {
+        let server_tag = ServerTag::of(&ServerIncarnation {
             id: format!("s{server}").parse().expect("an id"),
             born: Some(StartTime::from_millis(self.servers[server].up_at)),
         });
@@ -348,8 +348,13 @@
         for attempt in lost.collect::<Vec<Attempt>>() {
             let table = &mut self.tables[attempt.instance];
             let now = at(self.now);
-            let change =
-                table.crashed(attempt.fingerprint, tag(), attempt.mark_at_start, life, now);
+            let change = table.crashed(
+                attempt.fingerprint,
+                tag(),
+                attempt.mark_at_start,
+                server_tag,
+                now,
+            );
             self.publish(attempt.instance, change);
             self.continue_after_crash(&attempt);
         }
@@ -429,8 +434,8 @@
             let change = self.tables[message.to].learn(suspicion, false, at(now));
             self.publish_reply(message.to, suspicion, change);
         }
-        let news = self.row_reads.extract_if(.., |held| held.reads_at <= now);
-        for row in news.collect::<Vec<RowRead>>() {
+        let due_reads = self.row_reads.extract_if(.., |held| held.reads_at <= now);
+        for row in due_reads.collect::<Vec<RowRead>>() {
             for suspicion in row.entries {
                 let change = self.tables[row.to].learn(suspicion, false, at(now));
                 self.publish_reply(row.to, suspicion, change);
@@ -444,7 +449,7 @@
         let instance = self.random.usize(..INSTANCES);
         self.running.retain(|attempt| attempt.instance != instance);
         self.messages.retain(|message| message.to != instance);
-        self.row_reads.retain(|news| news.to != instance);
+        self.row_reads.retain(|read| read.to != instance);
         let mut table = new_table();
         for (owner, entries) in &self.rows {
             for suspicion in entries {
