--- a/crates/guavawell-core/src/forward/choice.rs
+++ b/crates/guavawell-core/src/forward/choice.rs
@@ -24,8 +24,9 @@
 /// Cost of a server that is the last choice; exceeds the sum of all other
 /// costs.
 const AVOIDED_COST_MS: f64 = 1e6;
-/// Cost of a server that runs another suspect. Less than the cost of a server
-/// that probably does not respond.
+/// Cost of a server that runs another request suspected of crashing servers.
+/// Less than [`AVOIDED_COST_MS`], because an avoided server probably does not
+/// respond at all.
 const SUSPECT_COST_MS: f64 = 1e5;
 
 /// Weights of the cost of a server. Times are in milliseconds.
@@ -274,8 +275,8 @@
 }
 
 /// Rank of a server for a prompt part or a suspect: the same at every instance.
-fn rank(part: u64, server: &BackendId) -> u64 {
-    let mut hash = part ^ 0x9e37_79b9_7f4a_7c15;
+fn rank(key: u64, server: &BackendId) -> u64 {
+    let mut hash = key ^ 0x9e37_79b9_7f4a_7c15;
     for byte in server.as_str().bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
--- a/crates/guavawell-core/src/forward/congestion.rs
+++ b/crates/guavawell-core/src/forward/congestion.rs
@@ -21,7 +21,8 @@
     /// A connection that takes longer has waited in a queue.
     pub slow_connect: ClockSpan,
     /// How long there must be only slow connections before the link counts as
-    /// full. A short burst then sends no caller away.
+    /// full. A shorter burst of requests does not make the instance report that
+    /// it is not ready.
     pub full_after: ClockSpan,
     /// How long the last slow connection counts. An instance without new
     /// connections becomes ready again after this time.
@@ -57,7 +58,7 @@
     }
 
     /// Records a connection that was accepted or refused after `took`.
-    pub fn connected(&mut self, took: ClockSpan, now: ClockTime) {
+    pub fn answered(&mut self, took: ClockSpan, now: ClockTime) {
         let before = self
             .slow_streak
             .filter(|(_, last)| self.is_recent(*last, now));
@@ -66,7 +67,7 @@
     }
 
     /// Records a connection that timed out.
-    pub fn late(&mut self, now: ClockTime) {
+    pub fn timed_out(&mut self, now: ClockTime) {
         let streak = self
             .slow_streak
             .filter(|(_, last)| self.is_recent(*last, now));
--- a/crates/guavawell-core/src/forward/retry.rs
+++ b/crates/guavawell-core/src/forward/retry.rs
@@ -1,8 +1,9 @@
 //! Allowance for retries.
 //!
 //! In any window, the whole fleet may retry a fixed fraction of a service's
-//! requests plus a fixed number. Each instance keeps to its share of both, so
-//! that instances need no coordination.
+//! requests plus a fixed number. Each instance applies the fraction to the
+//! requests that it received itself and has an equal part of the fixed number,
+//! so that instances need no coordination.
 
 use std::collections::VecDeque;
 
@@ -25,8 +26,10 @@
     pub window: ClockSpan,
     /// Number of instances that share `extra`.
     pub instances: usize,
-    /// Fraction of the allowance that is used. The rest is a margin for windows
-    /// that include a retry but not all requests that it was counted against.
+    /// Fraction of the allowance that an instance uses. It counts the window
+    /// that ends at a retry; a later window may include that retry but not all
+    /// requests that allowed it. The unused rest keeps such a window within the
+    /// allowance as well.
     pub used_fraction: f64,
 }
 
@@ -63,17 +66,17 @@
     }
 
     /// Whether one retry may be sent now; counts it if so.
-    pub fn take(&mut self, service: &ServiceId, now: ClockTime, settings: &RetryLimits) -> bool {
-        self.slice(service, now, settings.window);
+    pub fn take(&mut self, service: &ServiceId, now: ClockTime, limits: &RetryLimits) -> bool {
+        self.slice(service, now, limits.window);
         let slices = self.slices(service);
         let requests: u32 = slices.iter().map(|slice| slice.requests).sum();
         let retries: u32 = slices.iter().map(|slice| slice.retries).sum();
-        let shared = settings.extra / fraction(settings.instances.max(1) as u64);
-        let max_retries = settings.used_fraction * (settings.ratio * f64::from(requests) + shared);
+        let shared = limits.extra / fraction(limits.instances.max(1) as u64);
+        let max_retries = limits.used_fraction * (limits.ratio * f64::from(requests) + shared);
         if f64::from(retries) + 1.0 > max_retries {
             return false;
         }
-        self.slice(service, now, settings.window).retries += 1;
+        self.slice(service, now, limits.window).retries += 1;
         true
     }
 
--- a/crates/guavawell-core/tests/config_belief/world.rs
+++ b/crates/guavawell-core/tests/config_belief/world.rs
@@ -49,7 +49,7 @@
 /// A poll that was sent, with its response once there is one.
 struct OpenPoll {
     instance: usize,
-    incarnation: u32,
+    boot: u32,
     sent_at: ClockTime,
     /// Newest version that the sender had read from the store.
     known_version: Option<u64>,
@@ -62,17 +62,17 @@
 #[derive(Default)]
 struct InstanceState {
     tracker: VersionTracker,
-    incarnation: u32,
-    /// Newest version that this incarnation read from the store, decodable or
+    boot: u32,
+    /// Newest version read from the store since the last restart, decodable or
     /// not.
     known_version: Option<u64>,
-    /// Highest version in force in this incarnation, without versions that the
-    /// store turned out not to have.
+    /// Highest version in force since the last restart, without versions that
+    /// the store turned out not to have.
     highest_version: Option<u64>,
     /// When the version in force was applied.
     applied_at: ClockTime,
-    /// Whether this incarnation polled the faulty instance.
-    asked_faulty: bool,
+    /// Whether the faulty instance was polled since the last restart.
+    polled_faulty: bool,
     violation: Option<String>,
 }
 
@@ -109,11 +109,11 @@
             1 if random.u32(..6) == 0 => self.restart(random.usize(..INSTANCES)),
             2..=5 => self.send_poll(random.usize(..INSTANCES), None),
             6 | 7 => {
-                let asker = random.usize(..INSTANCES);
+                let sender = random.usize(..INSTANCES);
                 // One past the last instance is the faulty one.
                 let target = random.usize(..=INSTANCES);
-                if target != asker {
-                    self.send_poll(asker, Some(target));
+                if target != sender {
+                    self.send_poll(sender, Some(target));
                 }
             }
             8..=11 => self.add_response(random),
@@ -141,19 +141,19 @@
     }
 
     fn restart(&mut self, index: usize) {
-        let incarnation = self.instances[index].incarnation + 1;
+        let boot = self.instances[index].boot + 1;
         self.instances[index] = InstanceState {
-            incarnation,
+            boot,
             ..InstanceState::default()
         };
     }
 
     fn send_poll(&mut self, instance: usize, target: Option<usize>) {
         let state = &mut self.instances[instance];
-        state.asked_faulty |= target == Some(INSTANCES);
+        state.polled_faulty |= target == Some(INSTANCES);
         self.open_polls.push(OpenPoll {
             instance,
-            incarnation: state.incarnation,
+            boot: state.boot,
             sent_at: self.now,
             known_version: state.known_version,
             target,
@@ -203,7 +203,7 @@
             return;
         };
         let poll = self.open_polls.swap_remove(index);
-        if self.instances[poll.instance].incarnation == poll.incarnation {
+        if self.instances[poll.instance].boot == poll.boot {
             self.apply_response(&poll);
         }
     }
@@ -298,7 +298,7 @@
             if tracker.confirmed_version().is_some_and(is_false) {
                 return fail("a false version counts as read from the store");
             }
-            if tracker.version().is_some_and(is_false) && !state.asked_faulty {
+            if tracker.version().is_some_and(is_false) && !state.polled_faulty {
                 return fail("a false version was passed on by a correct instance");
             }
             let (Some(version), Some(age)) =
