--- a/crates/guavawell-core/src/order/issue.rs
+++ b/crates/guavawell-core/src/order/issue.rs
@@ -20,16 +20,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
     /// Pause between two readings of the engine.
-    pub poll: ClockSpan,
+    pub poll_interval: ClockSpan,
     /// Sends after which the order is given up.
-    pub sends: u32,
+    pub max_sends: u32,
 }
 
 impl Default for OrderSettings {
     fn default() -> Self {
         Self {
-            poll: ClockSpan::from_millis(1_000),
-            sends: 3,
+            poll_interval: ClockSpan::from_millis(1_000),
+            max_sends: 3,
         }
     }
 }
@@ -85,7 +85,7 @@
     /// Read the engine's orders and models.
     ReadEngine,
     /// Take a permit of the weight store.
-    TakePermit,
+    AcquirePermit,
     /// Send the order under this fencing number.
     Send(FenceNumber, OrderKind),
     /// Wait until then.
@@ -129,7 +129,7 @@
     take_over: bool,
     step: IssueStep,
     fence: FenceNumber,
-    permit: bool,
+    has_permit: bool,
     sends: u32,
 }
 
@@ -149,7 +149,7 @@
             take_over,
             step: IssueStep::Record,
             fence: FenceNumber::default(),
-            permit: false,
+            has_permit: false,
             sends: 0,
         }
     }
@@ -157,25 +157,25 @@
     /// Takes an event and says what to do next.
     pub fn handle(&mut self, event: IssueEvent, now: ClockTime) -> IssueEffect {
         match event {
-            IssueEvent::Row(row, revision) => self.row(row, revision),
-            IssueEvent::Written(result) => self.written(result),
-            IssueEvent::Engine(reading) => self.engine(&reading, now),
+            IssueEvent::Row(row, revision) => self.handle_row(row, revision),
+            IssueEvent::Written(result) => self.handle_write(result),
+            IssueEvent::Engine(reading) => self.handle_reading(&reading, now),
             IssueEvent::Permit(Ok(())) => {
-                self.permit = true;
+                self.has_permit = true;
                 self.read_engine()
             }
             IssueEvent::Permit(Err(until)) => IssueEffect::Wait(until),
             IssueEvent::Sent(SendResult::Stale) => IssueEffect::Finish(IssueOutcome::Superseded),
             IssueEvent::Sent(_) => {
                 self.step = IssueStep::Engine;
-                self.pause(now)
+                self.wait_for_poll(now)
             }
-            IssueEvent::Woken => self.again(),
-            IssueEvent::Unreadable => self.pause(now),
+            IssueEvent::Woken => self.resume(),
+            IssueEvent::Unreadable => self.wait_for_poll(now),
         }
     }
 
-    fn row(&mut self, row: Option<OrderRow>, revision: u64) -> IssueEffect {
+    fn handle_row(&mut self, row: Option<OrderRow>, revision: u64) -> IssueEffect {
         match self.step {
             IssueStep::Record => self.record(row, revision),
             IssueStep::Close => self.close(row, revision),
@@ -216,7 +216,7 @@
         IssueEffect::Send(self.fence, self.kind.clone())
     }
 
-    fn written(&mut self, result: WriteResult) -> IssueEffect {
+    fn handle_write(&mut self, result: WriteResult) -> IssueEffect {
         match (self.step, result) {
             (IssueStep::Close, WriteResult::Done) => IssueEffect::Finish(IssueOutcome::Applied),
             (IssueStep::Record, WriteResult::Done) => self.read_engine(),
@@ -224,7 +224,7 @@
         }
     }
 
-    fn engine(&mut self, reading: &EngineReading, now: ClockTime) -> IssueEffect {
+    fn handle_reading(&mut self, reading: &EngineReading, now: ClockTime) -> IssueEffect {
         self.step = IssueStep::Engine;
         if reading.fence > self.fence {
             return IssueEffect::Finish(IssueOutcome::Superseded);
@@ -233,23 +233,23 @@
             self.step = IssueStep::Close;
             return IssueEffect::ReadRow;
         }
-        if self.kind.is_under_way(reading) {
-            return self.pause(now);
+        if self.kind.is_in_progress(reading) {
+            return self.wait_for_poll(now);
         }
-        if self.sends >= self.settings.sends {
+        if self.sends >= self.settings.max_sends {
             return IssueEffect::Finish(IssueOutcome::Failed);
         }
-        if matches!(self.kind, OrderKind::Load(_)) && !self.permit {
+        if matches!(self.kind, OrderKind::Load(_)) && !self.has_permit {
             self.step = IssueStep::Permit;
-            return IssueEffect::TakePermit;
+            return IssueEffect::AcquirePermit;
         }
         self.step = IssueStep::Confirm;
         IssueEffect::ReadRow
     }
 
-    fn again(&mut self) -> IssueEffect {
+    fn resume(&mut self) -> IssueEffect {
         match self.step {
-            IssueStep::Permit => IssueEffect::TakePermit,
+            IssueStep::Permit => IssueEffect::AcquirePermit,
             IssueStep::Record | IssueStep::Close | IssueStep::Confirm => IssueEffect::ReadRow,
             IssueStep::Engine | IssueStep::Send => self.read_engine(),
         }
@@ -275,7 +275,7 @@
         row.owner == self.issuer && row.fence == self.fence
     }
 
-    fn pause(&self, now: ClockTime) -> IssueEffect {
-        IssueEffect::Wait(now + self.settings.poll)
+    fn wait_for_poll(&self, now: ClockTime) -> IssueEffect {
+        IssueEffect::Wait(now + self.settings.poll_interval)
     }
 }
--- a/crates/guavawell-core/src/order/permit.rs
+++ b/crates/guavawell-core/src/order/permit.rs
@@ -2,7 +2,7 @@
 //!
 //! One row of the table lists the loads under way; it is changed by
 //! compare-and-swap only. A permit is held for the load and for a shortest time,
-//! so the rate is at most `slots` loads in `hold`. A permit whose issuer died
+//! so the rate is at most `max_loads` loads in `min_hold`. A permit whose issuer died
 //! lapses: the rate is a courtesy to the store and guards no money.
 
 use serde::Deserialize;
@@ -16,19 +16,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitSettings {
     /// Loads at a time.
-    pub slots: usize,
+    pub max_loads: usize,
     /// Shortest time that a permit counts.
-    pub hold: ClockSpan,
+    pub min_hold: ClockSpan,
     /// Time after which a permit lapses.
-    pub lapse: ClockSpan,
+    pub expiry: ClockSpan,
 }
 
 impl Default for PermitSettings {
     fn default() -> Self {
         Self {
-            slots: 4,
-            hold: ClockSpan::from_millis(10_000),
-            lapse: ClockSpan::from_millis(600_000),
+            max_loads: 4,
+            min_hold: ClockSpan::from_millis(10_000),
+            expiry: ClockSpan::from_millis(600_000),
         }
     }
 }
@@ -58,22 +58,28 @@
     /// # Errors
     ///
     /// The earliest time at which a permit may be free.
-    pub fn take(
+    pub fn acquire(
         &self,
         backend: &BackendId,
         settings: &PermitSettings,
         now: ClockTime,
     ) -> Result<Self, ClockTime> {
         let mut row = self.clone();
-        row.permits.retain(|permit| permit.free_at(settings) > now);
-        let held = |permit: &LoadPermit| permit.backend == *backend && !permit.ended;
-        if row.permits.iter().any(held) {
+        row.permits
+            .retain(|permit| permit.counted_until(settings) > now);
+        let has_open_load = |permit: &LoadPermit| permit.backend == *backend && !permit.ended;
+        if row.permits.iter().any(has_open_load) {
             return Ok(row);
         }
-        if row.permits.len() >= settings.slots {
-            let free = row.permits.iter().map(|permit| permit.free_at(settings));
-            let soon = now + settings.hold;
-            return Err(free.min().map_or(soon, |free| free.min(soon)));
+        if row.permits.len() >= settings.max_loads {
+            let earliest = row
+                .permits
+                .iter()
+                .map(|permit| permit.counted_until(settings));
+            let next_check = now + settings.min_hold;
+            return Err(earliest
+                .min()
+                .map_or(next_check, |free| free.min(next_check)));
         }
         row.permits.push(LoadPermit {
             backend: backend.clone(),
@@ -85,7 +91,7 @@
 
     /// The row after the load of `backend` has ended.
     #[must_use]
-    pub fn give_back(&self, backend: &BackendId) -> Self {
+    pub fn release(&self, backend: &BackendId) -> Self {
         let mut row = self.clone();
         for permit in &mut row.permits {
             permit.ended |= permit.backend == *backend;
@@ -95,12 +101,12 @@
 }
 
 impl LoadPermit {
-    fn free_at(&self, settings: &PermitSettings) -> ClockTime {
+    fn counted_until(&self, settings: &PermitSettings) -> ClockTime {
         self.since
             + if self.ended {
-                settings.hold
+                settings.min_hold
             } else {
-                settings.lapse
+                settings.expiry
             }
     }
 }
--- a/crates/guavawell-core/src/order/placement.rs
+++ b/crates/guavawell-core/src/order/placement.rs
@@ -12,18 +12,18 @@
 
 /// A model that the manifest wants served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlacementWish {
+pub struct PlacementGoal {
     /// The model and version.
     pub served: ServedModel,
     /// The zones that should have it.
     pub zones: Vec<ZoneId>,
     /// Servers that should hold it in each zone.
-    pub copies: usize,
+    pub replicas: usize,
 }
 
 /// What a server holds and can hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlacementRoom {
+pub struct PlacementEngine {
     /// The server.
     pub backend: BackendId,
     /// Its zone.
@@ -31,13 +31,13 @@
     /// Models that it can hold.
     pub capacity: usize,
     /// Models and adapters that may be loaded into it.
-    pub hosts: Vec<ModelId>,
+    pub loadable: Vec<ModelId>,
     /// Models held.
     pub models: Vec<ServedModel>,
     /// Models being loaded.
     pub loading: Vec<ServedModel>,
     /// Whether it takes no orders: leaving, unreachable, or one is open.
-    pub closed: bool,
+    pub blocked: bool,
     /// Whether it is leaving, so that its copies do not count.
     pub leaving: bool,
 }
@@ -53,135 +53,144 @@
 
 /// The orders to issue now, at most one per server.
 #[must_use]
-pub fn plan(wishes: &[PlacementWish], rooms: &[PlacementRoom]) -> Vec<PlacementOrder> {
-    let mut rooms = rooms.to_vec();
+pub fn plan(goals: &[PlacementGoal], engines: &[PlacementEngine]) -> Vec<PlacementOrder> {
+    let mut engines = engines.to_vec();
     let mut orders = Vec::new();
-    for wish in wishes {
-        for zone in &wish.zones {
-            fill(wish, zone, wishes, &mut rooms, &mut orders);
+    for goal in goals {
+        for zone in &goal.zones {
+            plan_goal(goal, zone, goals, &mut engines, &mut orders);
         }
     }
-    for place in 0..rooms.len() {
-        if let Some(served) = outdated(&rooms[place], wishes, &rooms) {
-            unload(&mut rooms[place], served, &mut orders);
+    for index in 0..engines.len() {
+        if let Some(served) = outdated_model(&engines[index], goals, &engines) {
+            order_unload(&mut engines[index], served, &mut orders);
         }
     }
     orders
 }
 
-fn fill(
-    wish: &PlacementWish,
+fn plan_goal(
+    goal: &PlacementGoal,
     zone: &ZoneId,
-    wishes: &[PlacementWish],
-    rooms: &mut [PlacementRoom],
+    goals: &[PlacementGoal],
+    engines: &mut [PlacementEngine],
     orders: &mut Vec<PlacementOrder>,
 ) {
-    let present = copies(&wish.served, zone, rooms) + coming(&wish.served, zone, rooms);
-    let missing = wish.copies.saturating_sub(present);
+    let present =
+        held_replicas(&goal.served, zone, engines) + loading_replicas(&goal.served, zone, engines);
+    let missing = goal.replicas.saturating_sub(present);
     for _ in 0..missing {
-        let open = |room: &&mut PlacementRoom| {
-            let free = room.zone == *zone && !room.closed;
-            free && room.hosts.contains(&wish.served.model) && !has(room, &wish.served)
+        let can_load = |engine: &&mut PlacementEngine| {
+            let available = engine.zone == *zone && !engine.blocked;
+            available
+                && engine.loadable.contains(&goal.served.model)
+                && !holds_or_loads(engine, &goal.served)
         };
-        let free = |room: &PlacementRoom| {
-            let taken = room.models.len() + room.loading.len();
-            room.capacity.saturating_sub(taken)
+        let free = |engine: &PlacementEngine| {
+            let taken = engine.models.len() + engine.loading.len();
+            engine.capacity.saturating_sub(taken)
         };
-        let target = rooms
+        let target = engines
             .iter_mut()
-            .filter(open)
-            .filter(|room| free(room) > 0)
-            .max_by_key(|room| free(room));
-        if let Some(room) = target {
-            room.closed = true;
-            room.loading.push(wish.served.clone());
+            .filter(can_load)
+            .filter(|engine| free(engine) > 0)
+            .max_by_key(|engine| free(engine));
+        if let Some(engine) = target {
+            engine.blocked = true;
+            engine.loading.push(goal.served.clone());
             orders.push(PlacementOrder {
-                backend: room.backend.clone(),
-                kind: OrderKind::Load(wish.served.clone()),
+                backend: engine.backend.clone(),
+                kind: OrderKind::Load(goal.served.clone()),
             });
             continue;
         }
-        let place = rooms.iter().position(|room| {
-            let open = room.zone == *zone && !room.closed;
-            let hosts = room.hosts.contains(&wish.served.model) && !has(room, &wish.served);
-            open && hosts && surplus(room, wishes, rooms).is_some()
+        let index = engines.iter().position(|engine| {
+            let available = engine.zone == *zone && !engine.blocked;
+            let can_hold = engine.loadable.contains(&goal.served.model)
+                && !holds_or_loads(engine, &goal.served);
+            available && can_hold && surplus_model(engine, goals, engines).is_some()
         });
-        let Some(place) = place else {
+        let Some(index) = index else {
             return;
         };
-        if let Some(served) = surplus(&rooms[place], wishes, rooms) {
-            unload(&mut rooms[place], served, orders);
+        if let Some(served) = surplus_model(&engines[index], goals, engines) {
+            order_unload(&mut engines[index], served, orders);
         }
     }
 }
 
-fn has(room: &PlacementRoom, served: &ServedModel) -> bool {
-    room.models.contains(served) || room.loading.contains(served)
+fn holds_or_loads(engine: &PlacementEngine, served: &ServedModel) -> bool {
+    engine.models.contains(served) || engine.loading.contains(served)
 }
 
 /// Servers of a zone that hold a model and stay.
-fn copies(served: &ServedModel, zone: &ZoneId, rooms: &[PlacementRoom]) -> usize {
-    let stays = |room: &&PlacementRoom| room.zone == *zone && !room.leaving;
-    let holds = |room: &&PlacementRoom| room.models.contains(served);
-    rooms.iter().filter(stays).filter(holds).count()
+fn held_replicas(served: &ServedModel, zone: &ZoneId, engines: &[PlacementEngine]) -> usize {
+    let stays = |engine: &&PlacementEngine| engine.zone == *zone && !engine.leaving;
+    let holds = |engine: &&PlacementEngine| engine.models.contains(served);
+    engines.iter().filter(stays).filter(holds).count()
 }
 
 /// Servers of a zone that are loading a model and stay.
-fn coming(served: &ServedModel, zone: &ZoneId, rooms: &[PlacementRoom]) -> usize {
-    let stays = |room: &&PlacementRoom| room.zone == *zone && !room.leaving;
-    let loads = |room: &&PlacementRoom| room.loading.contains(served);
-    rooms.iter().filter(stays).filter(loads).count()
+fn loading_replicas(served: &ServedModel, zone: &ZoneId, engines: &[PlacementEngine]) -> usize {
+    let stays = |engine: &&PlacementEngine| engine.zone == *zone && !engine.leaving;
+    let loads = |engine: &&PlacementEngine| engine.loading.contains(served);
+    engines.iter().filter(stays).filter(loads).count()
 }
 
 /// A model of a full server that its zone can spare: unwanted, or with more
 /// copies than wanted.
-fn surplus(
-    room: &PlacementRoom,
-    wishes: &[PlacementWish],
-    rooms: &[PlacementRoom],
+fn surplus_model(
+    engine: &PlacementEngine,
+    goals: &[PlacementGoal],
+    engines: &[PlacementEngine],
 ) -> Option<ServedModel> {
-    let spare = |served: &&ServedModel| {
-        let wanted = wanted(served, &room.zone, wishes);
+    let is_surplus = |served: &&ServedModel| {
+        let wanted = wanted_replicas(served, &engine.zone, goals);
         let last_version = wanted == 0
-            && wishes
+            && goals
                 .iter()
-                .any(|wish| wish.served.model == served.model && wish.zones.contains(&room.zone))
-            && copies(served, &room.zone, rooms) == 1;
-        !last_version && copies(served, &room.zone, rooms) > wanted
+                .any(|goal| goal.served.model == served.model && goal.zones.contains(&engine.zone))
+            && held_replicas(served, &engine.zone, engines) == 1;
+        !last_version && held_replicas(served, &engine.zone, engines) > wanted
     };
-    room.models.iter().find(spare).cloned()
+    engine.models.iter().find(is_surplus).cloned()
 }
 
 /// An unwanted model whose wanted version, if there is one, is served in full.
-fn outdated(
-    room: &PlacementRoom,
-    wishes: &[PlacementWish],
-    rooms: &[PlacementRoom],
+fn outdated_model(
+    engine: &PlacementEngine,
+    goals: &[PlacementGoal],
+    engines: &[PlacementEngine],
 ) -> Option<ServedModel> {
-    if room.closed {
+    if engine.blocked {
         return None;
     }
     let replaced = |served: &ServedModel| {
-        let wish = wishes
+        let goal = goals
             .iter()
-            .find(|wish| wish.served.model == served.model && wish.zones.contains(&room.zone));
-        wish.is_none_or(|wish| copies(&wish.served, &room.zone, rooms) >= wish.copies)
+            .find(|goal| goal.served.model == served.model && goal.zones.contains(&engine.zone));
+        goal.is_none_or(|goal| held_replicas(&goal.served, &engine.zone, engines) >= goal.replicas)
     };
-    let unwanted =
-        |served: &&ServedModel| wanted(served, &room.zone, wishes) == 0 && replaced(served);
-    room.models.iter().find(unwanted).cloned()
+    let unwanted = |served: &&ServedModel| {
+        wanted_replicas(served, &engine.zone, goals) == 0 && replaced(served)
+    };
+    engine.models.iter().find(unwanted).cloned()
 }
 
-fn wanted(served: &ServedModel, zone: &ZoneId, wishes: &[PlacementWish]) -> usize {
-    let same = |wish: &&PlacementWish| wish.served == *served && wish.zones.contains(zone);
-    wishes.iter().find(same).map_or(0, |wish| wish.copies)
+fn wanted_replicas(served: &ServedModel, zone: &ZoneId, goals: &[PlacementGoal]) -> usize {
+    let same = |goal: &&PlacementGoal| goal.served == *served && goal.zones.contains(zone);
+    goals.iter().find(same).map_or(0, |goal| goal.replicas)
 }
 
-fn unload(room: &mut PlacementRoom, served: ServedModel, orders: &mut Vec<PlacementOrder>) {
-    room.closed = true;
-    room.models.retain(|other| *other != served);
+fn order_unload(
+    engine: &mut PlacementEngine,
+    served: ServedModel,
+    orders: &mut Vec<PlacementOrder>,
+) {
+    engine.blocked = true;
+    engine.models.retain(|other| *other != served);
     orders.push(PlacementOrder {
-        backend: room.backend.clone(),
+        backend: engine.backend.clone(),
         kind: OrderKind::Unload(served),
     });
 }
--- a/crates/guavawell-core/src/order/row.rs
+++ b/crates/guavawell-core/src/order/row.rs
@@ -82,7 +82,7 @@
 
     /// Whether the engine is on the way there.
     #[must_use]
-    pub fn is_under_way(&self, reading: &EngineReading) -> bool {
+    pub fn is_in_progress(&self, reading: &EngineReading) -> bool {
         matches!(self, Self::Load(served) if reading.loading.contains(served))
     }
 }
--- a/crates/guavawell-core/tests/orders.rs
+++ b/crates/guavawell-core/tests/orders.rs
@@ -16,8 +16,8 @@
 use guavawell_core::order::OrderSettings;
 use guavawell_core::order::PermitRow;
 use guavawell_core::order::PermitSettings;
-use guavawell_core::order::PlacementRoom;
-use guavawell_core::order::PlacementWish;
+use guavawell_core::order::PlacementEngine;
+use guavawell_core::order::PlacementGoal;
 use guavawell_core::order::SendResult;
 use guavawell_core::order::WriteResult;
 use guavawell_core::order::plan;
@@ -131,19 +131,19 @@
 }
 
 #[test]
-fn of_two_issuers_one_goes_on() {
+fn only_one_of_two_issuers_continues() {
     let mut b = order("b", false);
     b.handle(IssueEvent::Row(None, 0), NOW);
     b.handle(IssueEvent::Written(WriteResult::Conflict), NOW);
     let held = b.handle(IssueEvent::Row(Some(row("a", 1, false)), 1), NOW);
     assert_eq!(held, IssueEffect::Finish(IssueOutcome::HeldByOther));
-    let mut heir = order("b", true);
-    let taken = heir.handle(IssueEvent::Row(Some(row("a", 1, false)), 1), NOW);
+    let mut successor = order("b", true);
+    let taken = successor.handle(IssueEvent::Row(Some(row("a", 1, false)), 1), NOW);
     assert_eq!(taken, IssueEffect::WriteRow(1, row("b", 2, false)));
 }
 
 #[test]
-fn a_paused_issuer_that_was_replaced_sends_nothing_even_if_numbers_are_ignored() {
+fn a_replaced_issuer_sends_nothing_even_if_the_engine_ignores_fencing_numbers() {
     let mut a = order("a", false);
     first_send(&mut a, "a");
     let replaced = vec![
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_engine_that_never_follows_is_given_up() {
+fn an_order_fails_after_the_maximum_number_of_sends() {
     let mut a = order("a", false);
     first_send(&mut a, "a");
     let mut last = IssueEffect::ReadRow;
@@ -184,121 +184,121 @@
 #[test]
 fn loads_keep_to_one_fleet_wide_rate() {
     let settings = PermitSettings {
-        slots: 2,
+        max_loads: 2,
         ..PermitSettings::default()
     };
     let at = ClockTime::from_millis;
     let id = |name: &str| name.parse().expect("backend");
     let row = PermitRow::default();
-    let row = row.take(&id("x"), &settings, at(0)).expect("free");
-    let row = row.take(&id("y"), &settings, at(0)).expect("free");
-    let again = row.take(&id("x"), &settings, at(1)).expect("held");
+    let row = row.acquire(&id("x"), &settings, at(0)).expect("free");
+    let row = row.acquire(&id("y"), &settings, at(0)).expect("free");
+    let again = row.acquire(&id("x"), &settings, at(1)).expect("held");
     assert_eq!(
         again.permits.len(),
         2,
         "a lost answer takes no second permit"
     );
-    assert_eq!(row.take(&id("z"), &settings, at(1)), Err(at(10_001)));
-    let row = row.give_back(&id("x"));
-    assert_eq!(row.take(&id("z"), &settings, at(9_999)), Err(at(10_000)));
-    let row = row.take(&id("z"), &settings, at(10_000)).expect("free");
+    assert_eq!(row.acquire(&id("z"), &settings, at(1)), Err(at(10_001)));
+    let row = row.release(&id("x"));
+    assert_eq!(row.acquire(&id("z"), &settings, at(9_999)), Err(at(10_000)));
+    let row = row.acquire(&id("z"), &settings, at(10_000)).expect("free");
     let lapse = ClockTime::from_millis(0) + ClockSpan::from_millis(600_000);
-    let row = row.take(&id("w"), &settings, lapse).expect("y lapsed");
+    let row = row.acquire(&id("w"), &settings, lapse).expect("y lapsed");
     assert_eq!(row.permits.len(), 2);
 }
 
-fn room(name: &str, zone: &str, models: &[&str]) -> PlacementRoom {
-    PlacementRoom {
+fn engine(name: &str, zone: &str, models: &[&str]) -> PlacementEngine {
+    PlacementEngine {
         backend: name.parse().expect("backend"),
         zone: zone.parse().expect("zone"),
         capacity: 1,
-        hosts: vec!["m".parse().expect("model")],
+        loadable: vec!["m".parse().expect("model")],
         models: models.iter().map(|version| served(version)).collect(),
         loading: Vec::new(),
-        closed: false,
+        blocked: false,
         leaving: false,
     }
 }
 
-fn wish(version: &str, copies: usize) -> PlacementWish {
-    PlacementWish {
+fn goal(version: &str, replicas: usize) -> PlacementGoal {
+    PlacementGoal {
         served: served(version),
         zones: vec!["a".parse().expect("zone"), "b".parse().expect("zone")],
-        copies,
+        replicas,
     }
 }
 
-fn orders(wishes: &[PlacementWish], rooms: &[PlacementRoom]) -> Vec<Box<str>> {
+fn orders(goals: &[PlacementGoal], engines: &[PlacementEngine]) -> Vec<Box<str>> {
     let text = |kind: &OrderKind| match kind {
         OrderKind::Load(served) => format!("load {}", served.version),
         OrderKind::Unload(served) => format!("unload {}", served.version),
         OrderKind::Role(role) => format!("role {role}"),
     };
-    let plan = plan(wishes, rooms);
+    let plan = plan(goals, engines);
     plan.iter()
         .map(|order| format!("{} {}", order.backend, text(&order.kind)).into())
         .collect()
 }
 
 #[test]
-fn each_zone_gets_its_copies() {
-    let rooms = [
-        room("a-0", "a", &[]),
-        room("b-0", "b", &["2"]),
-        room("b-1", "b", &[]),
+fn each_zone_gets_its_replicas() {
+    let engines = [
+        engine("a-0", "a", &[]),
+        engine("b-0", "b", &["2"]),
+        engine("b-1", "b", &[]),
     ];
-    assert_eq!(orders(&[wish("2", 1)], &rooms), ["a-0 load 2".into()]);
+    assert_eq!(orders(&[goal("2", 1)], &engines), ["a-0 load 2".into()]);
 }
 
 #[test]
 fn a_leaving_server_is_replaced_before_it_has_gone() {
-    let mut leaving = room("a-0", "a", &["2"]);
+    let mut leaving = engine("a-0", "a", &["2"]);
     leaving.leaving = true;
-    leaving.closed = true;
-    let rooms = [leaving, room("a-1", "a", &[]), room("b-0", "b", &["2"])];
-    assert_eq!(orders(&[wish("2", 1)], &rooms), ["a-1 load 2".into()]);
+    leaving.blocked = true;
+    let engines = [leaving, engine("a-1", "a", &[]), engine("b-0", "b", &["2"])];
+    assert_eq!(orders(&[goal("2", 1)], &engines), ["a-1 load 2".into()]);
 }
 
 #[test]
-fn a_new_version_never_takes_the_last_copy_of_the_old() {
-    let wishes = [wish("2", 1)];
-    let single = [room("a-0", "a", &["1"]), room("b-0", "b", &["2"])];
-    let first = orders(&wishes, &single);
+fn a_new_version_never_replaces_the_last_replica_of_the_old_one() {
+    let goals = [goal("2", 1)];
+    let single = [engine("a-0", "a", &["1"]), engine("b-0", "b", &["2"])];
+    let first = orders(&goals, &single);
     assert_eq!(
         first,
         [] as [Box<str>; 0],
         "no room: left as it is, and served"
     );
     let two = [
-        room("a-0", "a", &["1"]),
-        room("a-1", "a", &["1"]),
-        room("b-0", "b", &["2"]),
+        engine("a-0", "a", &["1"]),
+        engine("a-1", "a", &["1"]),
+        engine("b-0", "b", &["2"]),
     ];
-    assert_eq!(orders(&wishes, &two), ["a-0 unload 1".into()]);
+    assert_eq!(orders(&goals, &two), ["a-0 unload 1".into()]);
     let next = [
-        room("a-0", "a", &[]),
-        room("a-1", "a", &["1"]),
-        room("b-0", "b", &["2"]),
+        engine("a-0", "a", &[]),
+        engine("a-1", "a", &["1"]),
+        engine("b-0", "b", &["2"]),
     ];
-    assert_eq!(orders(&wishes, &next), ["a-0 load 2".into()]);
+    assert_eq!(orders(&goals, &next), ["a-0 load 2".into()]);
     let mut loading = next;
     loading[0].loading.push(served("2"));
     let none: [Box<str>; 0] = [];
-    assert_eq!(orders(&wishes, &loading), none, "not served yet");
+    assert_eq!(orders(&goals, &loading), none, "not served yet");
 }
 
 #[test]
-fn what_a_late_duplicate_loaded_is_ordered_back() {
-    let mut doubled = room("a-0", "a", &["2", "1"]);
+fn a_model_loaded_by_a_late_duplicate_order_is_unloaded() {
+    let mut doubled = engine("a-0", "a", &["2", "1"]);
     doubled.capacity = 2;
-    let rooms = [doubled, room("b-0", "b", &["2"])];
-    assert_eq!(orders(&[wish("2", 1)], &rooms), ["a-0 unload 1".into()]);
+    let engines = [doubled, engine("b-0", "b", &["2"])];
+    assert_eq!(orders(&[goal("2", 1)], &engines), ["a-0 unload 1".into()]);
 }
 
 #[test]
-fn a_server_is_given_only_what_it_may_hold() {
-    let mut other = room("a-0", "a", &[]);
-    other.hosts = vec!["n".parse().expect("model")];
-    let rooms = [other, room("a-1", "a", &[]), room("b-0", "b", &["2"])];
-    assert_eq!(orders(&[wish("2", 2)], &rooms), ["a-1 load 2".into()]);
+fn a_server_loads_only_models_listed_for_it() {
+    let mut other = engine("a-0", "a", &[]);
+    other.loadable = vec!["n".parse().expect("model")];
+    let engines = [other, engine("a-1", "a", &[]), engine("b-0", "b", &["2"])];
+    assert_eq!(orders(&[goal("2", 2)], &engines), ["a-1 load 2".into()]);
 }
--- a/crates/guavawell-fleet/src/order/driver.rs
+++ b/crates/guavawell-fleet/src/order/driver.rs
@@ -165,7 +165,7 @@
                 .iter()
                 .find(|own| own.order.backend == room.backend);
             if let Some(own) = own {
-                room.closed = true;
+                room.blocked = true;
                 room.loading.extend(loading(&own.order.kind));
             }
         }
@@ -191,7 +191,7 @@
             if foreign && self.may_take_over(order, members, now) {
                 gone.push(room.backend.clone());
             } else if foreign {
-                room.closed = true;
+                room.blocked = true;
                 room.loading.extend(loading(&order.row.kind));
             }
         }
@@ -246,7 +246,7 @@
             let holds = read.is_ok_and(|reading| reading.models.contains(&wish.served));
             holders += usize::from(holds);
         }
-        holders > 0 && holders >= wish.copies
+        holders > 0 && holders >= wish.replicas
     }
 
     /// Starts an order; false if this router has enough of them.
--- a/crates/guavawell-fleet/src/order/picture.rs
+++ b/crates/guavawell-fleet/src/order/picture.rs
@@ -9,8 +9,8 @@
 use guavawell_core::manifest::BackendKind;
 use guavawell_core::manifest::FleetView;
 use guavawell_core::manifest::ModelEntry;
-use guavawell_core::order::PlacementRoom;
-use guavawell_core::order::PlacementWish;
+use guavawell_core::order::PlacementEngine;
+use guavawell_core::order::PlacementGoal;
 
 use super::book::ModelBook;
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub struct ZonePicture {
     /// What the manifest wants.
-    pub wishes: Vec<PlacementWish>,
+    pub wishes: Vec<PlacementGoal>,
     /// The zone's engines, sorted by id.
-    pub rooms: Vec<PlacementRoom>,
+    pub rooms: Vec<PlacementEngine>,
     /// Engines that have not reported yet.
     pub unseen: usize,
 }
@@ -69,7 +69,7 @@
 
     /// The wish for a model or adapter of this name.
     #[must_use]
-    pub fn wish_for(&self, model: &ModelId) -> Option<&PlacementWish> {
+    pub fn wish_for(&self, model: &ModelId) -> Option<&PlacementGoal> {
         self.wishes.iter().find(|wish| wish.served.model == *model)
     }
 }
@@ -80,16 +80,16 @@
     models: Vec<ServedModel>,
     gone: bool,
     spare: usize,
-) -> PlacementRoom {
+) -> PlacementEngine {
     let hosts = hosts(view, entry, &models);
-    PlacementRoom {
+    PlacementEngine {
         backend: entry.id.clone(),
         zone: entry.zone.clone(),
         capacity: hosts.len() + spare,
-        hosts,
+        loadable: hosts,
         models,
         loading: Vec::new(),
-        closed: entry.leaving || gone,
+        blocked: entry.leaving || gone,
         leaving: entry.leaving || gone,
     }
 }
@@ -108,7 +108,7 @@
     hosts
 }
 
-fn wishes(view: &FleetView, zone: &ZoneId, rooms: &[PlacementRoom]) -> Vec<PlacementWish> {
+fn wishes(view: &FleetView, zone: &ZoneId, rooms: &[PlacementEngine]) -> Vec<PlacementGoal> {
     let here = view
         .models()
         .iter()
@@ -123,13 +123,13 @@
             let Ok(version) = version.parse() else {
                 continue;
             };
-            wishes.push(PlacementWish {
+            wishes.push(PlacementGoal {
                 served: ServedModel {
                     model: id.clone(),
                     version,
                 },
                 zones: vec![zone.clone()],
-                copies: copies(model, id, rooms),
+                replicas: copies(model, id, rooms),
             });
         }
     }
@@ -138,9 +138,9 @@
 
 /// As many as the manifest wants and the zone's servers allow; a new version
 /// gets no fewer copies than the old one has, lest a rollout take capacity.
-fn copies(model: &ModelEntry, id: &ModelId, rooms: &[PlacementRoom]) -> usize {
-    let able = |room: &&PlacementRoom| !room.leaving && room.hosts.contains(id);
-    let holds = |room: &&PlacementRoom| room.models.iter().any(|held| held.model == *id);
+fn copies(model: &ModelEntry, id: &ModelId, rooms: &[PlacementEngine]) -> usize {
+    let able = |room: &&PlacementEngine| !room.leaving && room.loadable.contains(id);
+    let holds = |room: &&PlacementEngine| room.models.iter().any(|held| held.model == *id);
     let holders = rooms.iter().filter(able).filter(holds).count();
     let wanted = usize::from(model.replicas_per_zone).max(holders);
     wanted.min(rooms.iter().filter(able).count())
--- a/crates/guavawell-fleet/src/order/run.rs
+++ b/crates/guavawell-fleet/src/order/run.rs
@@ -158,7 +158,7 @@
             IssueEffect::ReadRow => self.read_row().await,
             IssueEffect::WriteRow(revision, row) => self.write_row(revision, &row).await,
             IssueEffect::ReadEngine => self.read_engine().await,
-            IssueEffect::TakePermit => match self.take_permit().await {
+            IssueEffect::AcquirePermit => match self.take_permit().await {
                 IssueEvent::Permit(Err(until)) => return RunStep::PutOff(until),
                 event => event,
             },
--- a/crates/guavawell-fleet/src/order/table.rs
+++ b/crates/guavawell-fleet/src/order/table.rs
@@ -115,7 +115,7 @@
         for _ in 0..PERMIT_TRIES {
             let read = self.table.get(PERMIT_KEY).await?;
             let known: PermitRow = parse(&read)?.unwrap_or_default();
-            let row = match known.take(backend, &self.permits, now) {
+            let row = match known.acquire(backend, &self.permits, now) {
                 Ok(row) => row,
                 Err(until) => return Ok(Err(until)),
             };
@@ -127,7 +127,7 @@
                 return Ok(Ok(()));
             }
         }
-        Ok(Err(now + self.permits.hold))
+        Ok(Err(now + self.permits.min_hold))
     }
 
     /// Gives the permit of a backend server back.
@@ -139,7 +139,7 @@
         for _ in 0..PERMIT_TRIES {
             let read = self.table.get(PERMIT_KEY).await?;
             let known: PermitRow = parse(&read)?.unwrap_or_default();
-            let row = known.give_back(backend);
+            let row = known.release(backend);
             if row == known
                 || self.swap(PERMIT_KEY, read.mod_revision(), &row).await? == WriteResult::Done
             {
--- a/crates/guavawell-fleet/src/router/settings.rs
+++ b/crates/guavawell-fleet/src/router/settings.rs
@@ -299,8 +299,8 @@
 pub fn order_parts(core: &RouterCore, gossip: &GossipDriver) -> OrderParts {
     let settings = core.settings.orders.clone();
     let permits = PermitSettings {
-        slots: usize::try_from(settings.fleet_loads).unwrap_or(usize::MAX),
-        hold: settings.load_hold_ms,
+        max_loads: usize::try_from(settings.fleet_loads).unwrap_or(usize::MAX),
+        min_hold: settings.load_hold_ms,
         ..PermitSettings::default()
     };
     let members = gossip.clone();
--- a/crates/guavawell-fleet/tests/orders/support.rs
+++ b/crates/guavawell-fleet/tests/orders/support.rs
@@ -70,7 +70,7 @@
             ..PoolSettings::default()
         };
         let permits = PermitSettings {
-            slots: 1,
+            max_loads: 1,
             ..PermitSettings::default()
         };
         let table = Table::new(self.platform.address(), pool);
