--- a/crates/guavawell-core/src/order/issue.rs
+++ b/crates/guavawell-core/src/order/issue.rs
@@ -1,12 +1,12 @@
-//! Issues one order to one engine.
+//! State machine that issues one order to one engine.
 //!
 //! The order is recorded in the table under a new fencing number before it is
-//! sent. Before every send the engine's state and then the row are read: a
-//! second send happens only while the engine is not in the ordered state and
-//! the row still names this issuer. So a lost answer repeats nothing, and an
-//! issuer that was replaced stops, also where the engine ignores the number.
-//! What a late duplicate changed shows in the next load report, and
-//! [`plan`](super::plan) orders it back.
+//! sent. Before each send, the engine's state and then the row are read. The
+//! order is sent again only if the engine is not in the ordered state and the
+//! row still names this issuer. A lost response alone therefore causes no second
+//! send, and an issuer that was replaced stops even if the engine
+//! ignores fencing numbers. If a delayed duplicate still reaches the engine, its
+//! effect shows in the next load report, and [`plan`](super::plan) reverts it.
 
 use super::row::EngineReading;
 use super::row::IssuerId;
@@ -16,12 +16,12 @@
 use crate::clock::ClockTime;
 use crate::id::FenceNumber;
 
-/// How an order is issued.
+/// Limits for issuing an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Pause between two readings of the engine.
+    /// Time between two reads of the engine's state.
     pub poll_interval: ClockSpan,
-    /// Sends after which the order is given up.
+    /// Maximum number of sends before the order fails.
     pub max_sends: u32,
 }
 
@@ -34,80 +34,82 @@
     }
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap on the row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect.
+    /// The row was written.
     Done,
-    /// The row had changed.
+    /// The row's revision had changed, so nothing was written.
     Conflict,
-    /// The answer was lost.
+    /// The response was lost, so the row may have been written or not.
     Unknown,
 }
 
-/// How a send to the engine ended.
+/// Result of a send to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// The engine took the order.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has seen a higher fencing number.
+    /// The engine has received a higher fencing number.
     Stale,
-    /// The answer was lost.
+    /// The response was lost, so the engine may have the order or not.
     Unknown,
 }
 
-/// What happened.
+/// Input of [`OrderIssuer::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssueEvent {
-    /// The row and its revision (zero without a row).
+    /// The row was read, with its revision (0 if there is no row).
     Row(Option<OrderRow>, u64),
-    /// The row was written, or not.
+    /// A write of the row ended.
     Written(WriteResult),
     /// The engine's state was read.
     Engine(EngineReading),
-    /// A permit of the weight store was taken, or is not to be had until then.
+    /// A weight-store permit was acquired, or the next attempt is due at the
+    /// given time.
     Permit(Result<(), ClockTime>),
-    /// The order was sent.
+    /// A send of the order ended.
     Sent(SendResult),
-    /// The wait is over.
+    /// A requested wait is over.
     Woken,
-    /// The table or the engine could not be read.
+    /// Reading the table or the engine failed.
     Unreadable,
 }
 
-/// What to do next.
+/// Action that the caller performs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssueEffect {
     /// Read the row.
     ReadRow,
-    /// Write the row if its revision is still this.
+    /// Write the row if its revision is still the given one.
     WriteRow(u64, OrderRow),
-    /// Read the engine's orders and models.
+    /// Read the engine's state.
     ReadEngine,
-    /// Take a permit of the weight store.
+    /// Acquire a weight-store permit.
     AcquirePermit,
-    /// Send the order under this fencing number.
+    /// Send the order with this fencing number.
     Send(FenceNumber, OrderKind),
-    /// Wait until then.
+    /// Wait until the given time.
     Wait(ClockTime),
-    /// Finished; give the permit back if one was taken.
+    /// The order has ended; release the permit if one was acquired.
     Finish(IssueOutcome),
 }
 
-/// How an order ended.
+/// Final result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IssueOutcome {
-    /// The engine is in the ordered state, and the row says so.
+    /// The engine is in the ordered state, and the row is marked as done.
     Applied,
     /// Another issuer has an open order.
     HeldByOther,
-    /// Another issuer has taken the row over.
+    /// Another issuer has replaced this one or sent a higher fencing number.
     Superseded,
-    /// The engine did not follow; the row stays open for the next try.
+    /// The engine is not in the ordered state after the maximum number of sends.
+    /// The row stays open, so that a later attempt can continue.
     Failed,
 }
 
-/// What the next event answers.
+/// Where the issuer stands, which decides how the next event is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IssueStep {
     Record,
@@ -118,14 +120,14 @@
     Close,
 }
 
-/// One order on its way.
+/// Issues one order.
 #[derive(Clone, Debug)]
 pub struct OrderIssuer {
     settings: OrderSettings,
     issuer: IssuerId,
     kind: OrderKind,
-    /// Whether an open order of another issuer may be taken over: its life has
-    /// ended by membership, or an operator said so.
+    /// Whether an open order of another issuer may be replaced: membership says
+    /// that the issuer has ended, or an operator asked for it.
     take_over: bool,
     step: IssueStep,
     fence: FenceNumber,
@@ -134,7 +136,7 @@
 }
 
 impl OrderIssuer {
-    /// A new order; begin with [`IssueEffect::ReadRow`].
+    /// Creates an issuer; the caller starts with [`IssueEffect::ReadRow`].
     #[must_use]
     pub fn new(
         settings: OrderSettings,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns the next action.
     pub fn handle(&mut self, event: IssueEvent, now: ClockTime) -> IssueEffect {
         match event {
             IssueEvent::Row(row, revision) => self.handle_row(row, revision),
--- a/crates/guavawell-core/src/order/mod.rs
+++ b/crates/guavawell-core/src/order/mod.rs
@@ -1,7 +1,10 @@
-//! Orders to model engines: recorded first, one issuer at a time, read back
-//! before any second send; weight-store permits; placement.
+//! Orders to load and unload models, or to change an engine's role.
 //!
-//! This folder decides; it sends nothing. It never trusts that an engine checks
+//! An order is recorded in the table before it is sent, and the engine's state
+//! is read before it is sent again. This module also limits concurrent loads
+//! from the weight store and plans which engine holds which model.
+//!
+//! The module does no I/O. Its rules stay safe with engines that do not check
 //! fencing numbers.
 
 mod issue;
--- a/crates/guavawell-core/src/order/permit.rs
+++ b/crates/guavawell-core/src/order/permit.rs
@@ -1,9 +1,12 @@
-//! Permits of the weight store: one fleet-wide rate for loads.
+//! Permits that limit the rate of model loads from the weight store for the
+//! whole fleet.
 //!
-//! One row of the table lists the loads under way; it is changed by
-//! compare-and-swap only. A permit is held for the load and for a shortest time,
-//! so the rate is at most `max_loads` loads in `min_hold`. A permit whose issuer died
-//! lapses: the rate is a courtesy to the store and guards no money.
+//! One table row lists the permits and is changed by compare-and-swap only. A
+//! permit counts until its load has ended, and for at least `min_hold`, so at
+//! most `max_loads` loads start within `min_hold`. A permit that was never
+//! released stops counting after `expiry`, since its issuer may have crashed.
+//! More loads than allowed are then possible; they slow the store down but
+//! affect no budget.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,14 +15,14 @@
 use crate::clock::ClockTime;
 use crate::id::BackendId;
 
-/// Bounds of the weight store.
+/// Limits on loads from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitSettings {
-    /// Loads at a time.
+    /// Maximum number of permits at a time.
     pub max_loads: usize,
-    /// Shortest time that a permit counts.
+    /// Minimum time for which a permit counts, even if its load ends earlier.
     pub min_hold: ClockSpan,
-    /// Time after which a permit lapses.
+    /// Time after which a permit that was not released stops counting.
     pub expiry: ClockSpan,
 }
 
@@ -33,12 +36,12 @@
     }
 }
 
-/// One load under way.
+/// A permit for one load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadPermit {
-    /// The server that loads.
+    /// The backend server that loads the model.
     pub backend: BackendId,
-    /// Since when, by the issuer's clock.
+    /// When the permit was acquired, by the issuer's clock.
     pub since: ClockTime,
     /// Whether the load has ended.
     pub ended: bool,
@@ -47,17 +50,18 @@
 /// The row `order-permits`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRow {
-    /// The permits that count.
+    /// All permits; expired ones are removed by the next [`PermitRow::acquire`].
     pub permits: Vec<LoadPermit>,
 }
 
 impl PermitRow {
-    /// The row with a permit for `backend`, to be written by compare-and-swap.
-    /// A permit that it holds already is kept: its answer may have been lost.
+    /// Returns the row with a permit for `backend`, to be written by
+    /// compare-and-swap. If `backend` holds a permit already, no second one is
+    /// added: the response to the write of the first may have been lost.
     ///
     /// # Errors
     ///
-    /// The earliest time at which a permit may be free.
+    /// Returns the time of the next attempt if all permits are taken.
     pub fn acquire(
         &self,
         backend: &BackendId,
@@ -89,7 +93,7 @@
         Ok(row)
     }
 
-    /// The row after the load of `backend` has ended.
+    /// Returns the row with the permits of `backend` marked as ended.
     #[must_use]
     pub fn release(&self, backend: &BackendId) -> Self {
         let mut row = self.clone();
@@ -101,6 +105,7 @@
 }
 
 impl LoadPermit {
+    /// The time until which the permit counts against the limit.
     fn counted_until(&self, settings: &PermitSettings) -> ClockTime {
         self.since
             + if self.ended {
--- a/crates/guavawell-core/src/order/placement.rs
+++ b/crates/guavawell-core/src/order/placement.rs
@@ -1,8 +1,10 @@
-//! Which orders bring the servers to what the manifest wants.
+//! Plans the orders that bring the engines to the placement that the manifest
+//! asks for.
 //!
-//! Each wanted model is kept in each of its zones. New copies are loaded
-//! before old ones are unloaded, and the last copies of a wanted model are
-//! never unloaded. One order per server at a time.
+//! Each wanted version is loaded by as many engines of a zone as wanted. An old
+//! version is unloaded once the new one has all its replicas in the zone. If no
+//! engine has room, one replica that the zone can spare is unloaded first, but
+//! never the last replica of a wanted model. An engine gets one order at a time.
 
 use super::row::OrderKind;
 use crate::backend::ServedModel;
@@ -10,48 +12,49 @@
 use crate::id::ModelId;
 use crate::id::ZoneId;
 
-/// A model that the manifest wants served.
+/// A model version that the manifest wants to be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementGoal {
     /// The model and version.
     pub served: ServedModel,
-    /// The zones that should have it.
+    /// The zones in which it is wanted.
     pub zones: Vec<ZoneId>,
-    /// Servers that should hold it in each zone.
+    /// Wanted number of replicas in each zone.
     pub replicas: usize,
 }
 
-/// What a server holds and can hold.
+/// What an engine holds and what it may load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementEngine {
-    /// The server.
+    /// The engine's backend server.
     pub backend: BackendId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Models that it can hold.
+    /// Maximum number of models.
     pub capacity: usize,
     /// Models and adapters that may be loaded into it.
     pub loadable: Vec<ModelId>,
-    /// Models held.
+    /// Loaded models and adapters.
     pub models: Vec<ServedModel>,
-    /// Models being loaded.
+    /// Models and adapters that are being loaded.
     pub loading: Vec<ServedModel>,
-    /// Whether it takes no orders: leaving, unreachable, or one is open.
+    /// Whether it must not get an order now: it is leaving or unreachable, or
+    /// another order is open.
     pub blocked: bool,
-    /// Whether it is leaving, so that its copies do not count.
+    /// Whether it is leaving. Its models do not count as replicas then.
     pub leaving: bool,
 }
 
-/// One order to be issued.
+/// An order to issue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementOrder {
-    /// The server.
+    /// The backend server to send it to.
     pub backend: BackendId,
-    /// The order.
+    /// What to order.
     pub kind: OrderKind,
 }
 
-/// The orders to issue now, at most one per server.
+/// Returns the orders to issue now, at most one per engine.
 #[must_use]
 pub fn plan(goals: &[PlacementGoal], engines: &[PlacementEngine]) -> Vec<PlacementOrder> {
     let mut engines = engines.to_vec();
@@ -69,6 +72,8 @@
     orders
 }
 
+/// Orders the missing replicas of one goal in one zone, on the engines with the
+/// most free capacity. If none has any, makes room on a full one.
 fn plan_goal(
     goal: &PlacementGoal,
     zone: &ZoneId,
@@ -123,22 +128,22 @@
     engine.models.contains(served) || engine.loading.contains(served)
 }
 
-/// Servers of a zone that hold a model and stay.
+/// The number of engines in a zone that hold a model and are not leaving.
 fn held_replicas(served: &ServedModel, zone: &ZoneId, engines: &[PlacementEngine]) -> usize {
     let stays = |engine: &&PlacementEngine| engine.zone == *zone && !engine.leaving;
     let holds = |engine: &&PlacementEngine| engine.models.contains(served);
     engines.iter().filter(stays).filter(holds).count()
 }
 
-/// Servers of a zone that are loading a model and stay.
+/// The number of engines in a zone that are loading a model and are not leaving.
 fn loading_replicas(served: &ServedModel, zone: &ZoneId, engines: &[PlacementEngine]) -> usize {
     let stays = |engine: &&PlacementEngine| engine.zone == *zone && !engine.leaving;
     let loads = |engine: &&PlacementEngine| engine.loading.contains(served);
     engines.iter().filter(stays).filter(loads).count()
 }
 
-/// A model of a full server that its zone can spare: unwanted, or with more
-/// copies than wanted.
+/// A model of `engine` with more replicas in the zone than wanted. The last
+/// replica of an old version is kept if another version of the model is wanted.
 fn surplus_model(
     engine: &PlacementEngine,
     goals: &[PlacementGoal],
@@ -156,7 +161,8 @@
     engine.models.iter().find(is_surplus).cloned()
 }
 
-/// An unwanted model whose wanted version, if there is one, is served in full.
+/// A model of `engine` that is not wanted in its zone. If another version of it
+/// is wanted, that version has all its replicas already.
 fn outdated_model(
     engine: &PlacementEngine,
     goals: &[PlacementGoal],
--- a/crates/guavawell-core/src/order/row.rs
+++ b/crates/guavawell-core/src/order/row.rs
@@ -1,4 +1,5 @@
-//! The table's row of one backend server's orders, and what the engine says.
+//! The table row with a backend server's latest order, and the state that its
+//! engine reports.
 
 use std::fmt;
 
@@ -10,50 +11,53 @@
 use crate::id::IncarnationId;
 use crate::id::InstanceId;
 
-/// One life of an instance that issues orders.
+/// One run of an instance that issues orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IssuerId {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Which run of the instance, from its start to its end.
     pub incarnation: IncarnationId,
 }
 
-/// What an engine is told to do.
+/// The content of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderKind {
-    /// Load a model or adapter version.
+    /// Load this version of a model or adapter.
     Load(ServedModel),
-    /// Unload one.
+    /// Unload this version of a model or adapter.
     Unload(ServedModel),
-    /// Change the role.
+    /// Take on this role.
     Role(Box<str>),
 }
 
-/// The row `order/{backend}`: the latest order. Its fencing number only rises.
+/// The row `order/{backend}` with the latest order.
+///
+/// The fencing number increases with each new order and never decreases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRow {
-    /// Who issues it.
+    /// The issuer.
     pub owner: IssuerId,
-    /// Its fencing number.
+    /// The order's fencing number.
     pub fence: FenceNumber,
     /// The order.
     pub kind: OrderKind,
-    /// Whether the engine was seen to have carried it out.
+    /// Whether the engine was read in the ordered state.
     pub done: bool,
 }
 
 /// An engine's answer to `GET /v1/orders`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReading {
-    /// Highest fencing number seen; stays zero at engines that ignore it.
+    /// Highest fencing number that the engine has received; 0 if it ignores
+    /// fencing numbers.
     pub fence: FenceNumber,
-    /// Models and adapters held.
+    /// Loaded models and adapters.
     pub models: Vec<ServedModel>,
-    /// Those being loaded.
+    /// Models and adapters that are being loaded.
     pub loading: Vec<ServedModel>,
-    /// The role.
+    /// The engine's role.
     pub role: Box<str>,
 }
 
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Whether the engine is on the way there.
+    /// Whether the engine is loading the ordered model.
     #[must_use]
     pub fn is_in_progress(&self, reading: &EngineReading) -> bool {
         matches!(self, Self::Load(served) if reading.loading.contains(served))
--- a/crates/guavawell-core/tests/orders.rs
+++ b/crates/guavawell-core/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders under lost answers, races and late duplicates; permits; placement.
+//! Tests of order issuing with lost responses, races and late duplicates, of
+//! permits, and of placement.
 
 use guavawell_core::backend::ServedModel;
 use guavawell_core::clock::ClockSpan;
@@ -63,13 +64,13 @@
     })
 }
 
-/// Feeds the events and returns the last effect.
+/// Feeds all events to `order` and returns the last effect.
 fn feed(order: &mut OrderIssuer, events: Vec<IssueEvent>) -> IssueEffect {
     let handle = |event| order.handle(event, NOW);
     events.into_iter().map(handle).last().expect("an event")
 }
 
-/// Up to the first send, under fencing number 1.
+/// Drives a new order up to its first send, with fencing number 1.
 fn first_send(order: &mut OrderIssuer, name: &str) -> IssueEffect {
     let events = vec![
         IssueEvent::Row(None, 0),
