--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -9,7 +9,7 @@
 use crate::request::claim::row::ClaimState;
 use crate::request::identity::RequestIdentity;
 use crate::request::proof::SealProof;
-use crate::retention::TryStart;
+use crate::retention::AttemptStart;
 
 /// Most writes of one step; each one but the first follows a read-back.
 const MAX_WRITES: u8 = 3;
@@ -102,7 +102,7 @@
     identity: RequestIdentity,
     goal: ClaimGoal,
     row: ClaimRow,
-    start: TryStart,
+    start: AttemptStart,
     generation: ClaimGeneration,
     expected: u64,
     writes: u8,
@@ -122,7 +122,7 @@
         attempt: AttemptId,
         router: InstanceLife,
         at: ClockTime,
-        start: TryStart,
+        start: AttemptStart,
     ) -> Self {
         let state = match goal {
             ClaimGoal::Run => ClaimState::Claimed,
@@ -139,7 +139,7 @@
                 at,
             },
             start,
-            generation: start.begun,
+            generation: start.started_in,
             expected: 0,
             writes: 0,
             in_doubt: false,
@@ -173,7 +173,7 @@
     /// Goes on in the generation in force, unless a claim of the id that the
     /// caller may count on could be gone by now.
     fn enter(&mut self, current: ClaimGeneration) -> ClaimEffect {
-        if self.start.is_forgotten(current) {
+        if self.start.may_be_swept(current) {
             return self.done(ClaimEnd::Forgotten);
         }
         if !self.start.may_write(current) {
--- a/crates/guavawell-core/src/retention/generation.rs
+++ b/crates/guavawell-core/src/retention/generation.rs
@@ -15,32 +15,35 @@
 pub const KEPT_GENERATIONS: u64 = 8;
 
 /// Generations that a try may see end before it writes.
-const GRACE: u64 = 1;
+const GRACE_GENERATIONS: u64 = 1;
 
 /// Whether claims last written in `generation` may be deleted in `current`.
 ///
 /// A try that begins less than [`KEPT_GENERATIONS`] after a claim's own, and
-/// that writes at most [`GRACE`] later than it began, still meets the claim.
+/// that writes at most [`GRACE_GENERATIONS`] later than it began, still meets the claim.
 #[must_use]
 pub const fn may_sweep(generation: ClaimGeneration, current: ClaimGeneration) -> bool {
-    current.get() > generation.get() + KEPT_GENERATIONS + GRACE
+    current.get() > generation.get() + KEPT_GENERATIONS + GRACE_GENERATIONS
 }
 
 /// When a try of an id began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct TryStart {
+pub struct AttemptStart {
     /// The generation that the router thought in force when it read the
     /// request. An older one than the true one is safe.
-    pub begun: ClaimGeneration,
+    pub started_in: ClaimGeneration,
     /// The generation in which the id was first used, if the caller names it.
-    pub first: Option<ClaimGeneration>,
+    pub first_used_in: Option<ClaimGeneration>,
 }
 
-impl TryStart {
-    /// A try that begins in `begun`, without the caller's word on the id's age.
+impl AttemptStart {
+    /// A try that begins in `started_in`, without the caller's word on the id's age.
     #[must_use]
-    pub const fn new(begun: ClaimGeneration) -> Self {
-        Self { begun, first: None }
+    pub const fn new(started_in: ClaimGeneration) -> Self {
+        Self {
+            started_in,
+            first_used_in: None,
+        }
     }
 
     /// Whether the try may still write in `current`.
@@ -49,12 +52,13 @@
     /// while the try was under way.
     #[must_use]
     pub const fn may_write(&self, current: ClaimGeneration) -> bool {
-        current.get() <= self.begun.get() + GRACE
+        current.get() <= self.started_in.get() + GRACE_GENERATIONS
     }
 
     /// Whether a claim of the id may have been swept by `current`.
     #[must_use]
-    pub fn is_forgotten(&self, current: ClaimGeneration) -> bool {
-        self.first.is_some_and(|first| may_sweep(first, current))
+    pub fn may_be_swept(&self, current: ClaimGeneration) -> bool {
+        self.first_used_in
+            .is_some_and(|first_used_in| may_sweep(first_used_in, current))
     }
 }
--- a/crates/guavawell-core/src/retention/mod.rs
+++ b/crates/guavawell-core/src/retention/mod.rs
@@ -4,27 +4,27 @@
 //! counted in generations, and a generation ends only after spans that single
 //! monotonic clocks saw pass. Billing evidence is never deleted here.
 
-mod age;
 mod generation;
+mod organisations;
 mod pass;
+mod scheduler;
 mod settings;
-mod tour;
 
-pub use age::GenerationRow;
-pub use age::KeeperEffect;
-pub use age::KeeperWrite;
-pub use age::RetentionKeeper;
-pub use age::RetentionView;
-pub use age::SweepRow;
+pub use generation::AttemptStart;
 pub use generation::GENERATION_KEY;
 pub use generation::KEPT_GENERATIONS;
 pub use generation::SWEEP_KEY;
-pub use generation::TryStart;
 pub use generation::may_sweep;
-pub use pass::AgedKey;
+pub use organisations::CLAIM_PREFIX;
+pub use organisations::OrganisationSweep;
+pub use organisations::skip_covered;
+pub use pass::KeyRevision;
 pub use pass::PassStep;
 pub use pass::plan_page;
+pub use scheduler::GenerationRow;
+pub use scheduler::RetentionEffect;
+pub use scheduler::RetentionScheduler;
+pub use scheduler::RetentionView;
+pub use scheduler::RetentionWrite;
+pub use scheduler::SweepRow;
 pub use settings::RetentionSettings;
-pub use tour::CLAIM_PREFIX;
-pub use tour::SweepTour;
-pub use tour::step_over;
--- a/crates/guavawell-core/src/retention/tour.rs
+++ b/crates/guavawell-core/src/retention/organisations.rs
@@ -10,13 +10,13 @@
 ///
 /// It lives in memory only: a router that starts anew looks again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SweepTour {
+pub struct OrganisationSweep {
     generation: ClaimGeneration,
     prefixes: Vec<Box<str>>,
     after: Option<Box<str>>,
 }
 
-impl SweepTour {
+impl OrganisationSweep {
     /// A tour of `organisations` in `generation`.
     pub fn new(
         generation: ClaimGeneration,
@@ -46,7 +46,7 @@
     }
 
     /// Takes note of a page; without a cursor the prefix is done.
-    pub fn looked(&mut self, cursor: Option<Box<str>>) {
+    pub fn record_page(&mut self, cursor: Option<Box<str>>) {
         if cursor.is_none() {
             self.prefixes.pop();
         }
@@ -57,12 +57,12 @@
 /// Where a pass over all claims goes on behind `cursor`: organisations that
 /// are looked at by a tour are stepped over.
 #[must_use]
-pub fn step_over(cursor: &str, is_toured: impl Fn(&OrganisationId) -> bool) -> Box<str> {
-    let parts = cursor.strip_prefix(CLAIM_PREFIX);
-    let name = parts.and_then(|rest| rest.split_once('/'));
+pub fn skip_covered(cursor: &str, is_covered: impl Fn(&OrganisationId) -> bool) -> Box<str> {
+    let suffix = cursor.strip_prefix(CLAIM_PREFIX);
+    let name = suffix.and_then(|rest| rest.split_once('/'));
     match name.map(|(name, _)| name.parse::<OrganisationId>()) {
         // No id holds such a character, so that it stands behind them all.
-        Some(Ok(id)) if is_toured(&id) => format!("{CLAIM_PREFIX}{id}/\u{10ffff}").into(),
+        Some(Ok(id)) if is_covered(&id) => format!("{CLAIM_PREFIX}{id}/\u{10ffff}").into(),
         _ => cursor.into(),
     }
 }
--- a/crates/guavawell-core/src/retention/age.rs
+++ b/crates/guavawell-core/src/retention/scheduler.rs
@@ -60,17 +60,17 @@
         let starts = &self.sweep.starts;
         // The generation in force began at its row's revision, the one before
         // at the last of `starts`, and so on.
-        let kept = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
+        let kept_starts = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
         starts
             .len()
-            .checked_sub(kept)
-            .map_or(0, |place| starts[place])
+            .checked_sub(kept_starts)
+            .map_or(0, |index| starts[index])
     }
 }
 
 /// A write of the sweep's row, and of the generation's if it ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeeperWrite {
+pub struct RetentionWrite {
     /// The sweep's row.
     pub sweep: SweepRow,
     /// The next generation, if the one in force ends.
@@ -79,9 +79,9 @@
 
 /// What the driver does next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum KeeperEffect {
+pub enum RetentionEffect {
     /// Write, comparing both rows' revisions; then read them again.
-    Write(KeeperWrite),
+    Write(RetentionWrite),
     /// Look at the page behind the cursor for rows before the revision.
     Scan {
         /// The last key that was looked at.
@@ -90,18 +90,18 @@
         due_before: u64,
     },
     /// Nothing is due.
-    Rest,
+    Idle,
 }
 
 /// One router's part in keeping the generations; others may do the same.
 #[derive(Clone, Debug)]
-pub struct RetentionKeeper {
+pub struct RetentionScheduler {
     settings: RetentionSettings,
-    seen: Option<SeenView>,
+    observed: Option<ObservedView>,
 }
 
 #[derive(Clone, Debug)]
-struct SeenView {
+struct ObservedView {
     view: RetentionView,
     /// When its answer had come.
     at: ClockTime,
@@ -109,23 +109,27 @@
     sweep: SweepRow,
 }
 
-impl RetentionKeeper {
+impl RetentionScheduler {
     /// A keeper that has seen nothing.
     #[must_use]
     pub const fn new(settings: RetentionSettings) -> Self {
         Self {
             settings,
-            seen: None,
+            observed: None,
         }
     }
 
     /// Takes what a read found; `now` is taken after its answer came.
-    pub fn read(&mut self, view: RetentionView, now: ClockTime) {
-        if self.seen.as_ref().is_some_and(|seen| seen.view == view) {
+    pub fn observe(&mut self, view: RetentionView, now: ClockTime) {
+        if self
+            .observed
+            .as_ref()
+            .is_some_and(|observed| observed.view == view)
+        {
             return;
         }
         let sweep = view.sweep.clone();
-        self.seen = Some(SeenView {
+        self.observed = Some(ObservedView {
             view,
             at: now,
             sweep,
@@ -134,63 +138,63 @@
 
     /// Forgets what was read, after a write with whatever answer or while
     /// another router is elected.
-    pub fn forget(&mut self) {
-        self.seen = None;
+    pub fn reset(&mut self) {
+        self.observed = None;
     }
 
     /// Takes note of a page that was looked at.
-    pub fn swept(&mut self, cursor: Option<Box<str>>, deleted: u64) {
-        if let Some(seen) = &mut self.seen {
-            if seen.sweep.cursor.is_none() {
-                seen.sweep.pass = seen.view.generation.generation;
+    pub fn record_page(&mut self, cursor: Option<Box<str>>, deleted: u64) {
+        if let Some(observed) = &mut self.observed {
+            if observed.sweep.cursor.is_none() {
+                observed.sweep.pass = observed.view.generation.generation;
             }
-            seen.sweep.cursor = cursor;
-            seen.sweep.deleted += deleted;
+            observed.sweep.cursor = cursor;
+            observed.sweep.deleted += deleted;
         }
     }
 
     /// What to do at `now`.
     #[must_use]
-    pub fn next(&self, now: ClockTime) -> KeeperEffect {
-        let Some(seen) = &self.seen else {
-            return KeeperEffect::Rest;
+    pub fn next(&self, now: ClockTime) -> RetentionEffect {
+        let Some(observed) = &self.observed else {
+            return RetentionEffect::Idle;
         };
         if !self.settings.sweeps_claims() {
-            return KeeperEffect::Rest;
+            return RetentionEffect::Idle;
         }
-        let passed = now.since(seen.at);
-        let mut sweep = seen.sweep.clone();
-        sweep.aged = ClockSpan::from_millis(sweep.aged.as_millis() + passed.as_millis());
+        let elapsed = now.since(observed.at);
+        let mut sweep = observed.sweep.clone();
+        sweep.aged = ClockSpan::from_millis(sweep.aged.as_millis() + elapsed.as_millis());
         if sweep.aged >= self.settings.generation() {
-            return KeeperEffect::Write(seen.advance(sweep));
+            return RetentionEffect::Write(observed.advance(sweep));
         }
-        if passed >= self.note_every() {
-            return KeeperEffect::Write(KeeperWrite {
+        if elapsed >= self.checkpoint_interval() {
+            return RetentionEffect::Write(RetentionWrite {
                 sweep,
                 advance: None,
             });
         }
-        seen.scan()
+        observed.scan()
     }
 
     /// A generation is noted several times, or a fleet whose routers live
     /// shorter than one would never end it.
-    fn note_every(&self) -> ClockSpan {
-        let part = self.settings.generation().as_millis() / 4;
-        let part = ClockSpan::from_millis(part.max(1));
-        self.settings.note_every.min(part)
+    fn checkpoint_interval(&self) -> ClockSpan {
+        let quarter = self.settings.generation().as_millis() / 4;
+        let quarter = ClockSpan::from_millis(quarter.max(1));
+        self.settings.checkpoint_interval.min(quarter)
     }
 }
 
-impl SeenView {
-    fn advance(&self, mut sweep: SweepRow) -> KeeperWrite {
-        let kept = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
+impl ObservedView {
+    fn advance(&self, mut sweep: SweepRow) -> RetentionWrite {
+        let kept_starts = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
         sweep.starts.push(self.view.generation_revision);
-        let beyond = sweep.starts.len().saturating_sub(kept);
-        sweep.starts.drain(..beyond);
+        let excess = sweep.starts.len().saturating_sub(kept_starts);
+        sweep.starts.drain(..excess);
         sweep.aged = ClockSpan::default();
         let generation = self.view.generation.generation.next();
-        KeeperWrite {
+        RetentionWrite {
             sweep,
             advance: Some(GenerationRow { generation }),
         }
@@ -198,14 +202,14 @@
 
     /// The pass under way goes on; a new one begins once in a retention, for
     /// organisations that no router tours.
-    fn scan(&self) -> KeeperEffect {
+    fn scan(&self) -> RetentionEffect {
         let due_before = self.view.due_before();
         let next_pass = self.sweep.pass.get() + KEPT_GENERATIONS;
-        let is_new = self.view.generation.generation.get() >= next_pass;
-        if due_before == 0 || (self.sweep.cursor.is_none() && !is_new) {
-            return KeeperEffect::Rest;
+        let is_due = self.view.generation.generation.get() >= next_pass;
+        if due_before == 0 || (self.sweep.cursor.is_none() && !is_due) {
+            return RetentionEffect::Idle;
         }
-        KeeperEffect::Scan {
+        RetentionEffect::Scan {
             after: self.sweep.cursor.clone(),
             due_before,
         }
--- a/crates/guavawell-core/src/retention/settings.rs
+++ b/crates/guavawell-core/src/retention/settings.rs
@@ -10,14 +10,14 @@
     /// keeps claims for ever.
     pub claims: ClockSpan,
     /// Time between two writes of the sweep's progress.
-    pub note_every: ClockSpan,
+    pub checkpoint_interval: ClockSpan,
 }
 
 impl Default for RetentionSettings {
     fn default() -> Self {
         Self {
             claims: ClockSpan::default(),
-            note_every: ClockSpan::from_millis(600_000),
+            checkpoint_interval: ClockSpan::from_millis(600_000),
         }
     }
 }
--- a/crates/guavawell-core/tests/claims/world.rs
+++ b/crates/guavawell-core/tests/claims/world.rs
@@ -15,8 +15,8 @@
 use guavawell_core::request::claim::ClaimRow;
 use guavawell_core::request::claim::ClaimState;
 use guavawell_core::request::claim::ClaimStep;
+use guavawell_core::retention::AttemptStart;
 use guavawell_core::retention::KEPT_GENERATIONS;
-use guavawell_core::retention::TryStart;
 use guavawell_core::retention::may_sweep;
 
 /// Answers lost or writes delayed in one history.
@@ -93,7 +93,7 @@
     };
     let identity = RequestIdentity::from_caller(organisation, "k").unwrap();
     let id = AttemptId::new(u128::from(attempt));
-    let start = TryStart::new(ClaimGeneration::new(begun));
+    let start = AttemptStart::new(ClaimGeneration::new(begun));
     ClaimStep::new(identity, goal, id, life, ClockTime::default(), start)
 }
 
--- a/crates/guavawell-fleet/src/claim/driver.rs
+++ b/crates/guavawell-fleet/src/claim/driver.rs
@@ -22,7 +22,7 @@
 use guavawell_core::request::claim::needs_claim;
 use guavawell_core::request::claim::run_or_refuse;
 use guavawell_core::request::claim::seal_refusal;
-use guavawell_core::retention::TryStart;
+use guavawell_core::retention::AttemptStart;
 use smol::Timer;
 use smol::channel;
 use smol::channel::Sender;
@@ -110,8 +110,8 @@
 
     /// The start of a try whose request was read now.
     #[must_use]
-    pub fn start_try(&self) -> TryStart {
-        TryStart::new(self.book.known().generation)
+    pub fn start_try(&self) -> AttemptStart {
+        AttemptStart::new(self.book.known().generation)
     }
 
     /// The generation to name in answers, once the table has told it.
@@ -136,7 +136,7 @@
         &self,
         identity: &RequestIdentity,
         attempt: UnsentAttempt,
-        start: TryStart,
+        start: AttemptStart,
     ) -> ClaimAnswer {
         let mut pending = PendingClaim {
             driver: self,
@@ -167,7 +167,7 @@
         identity: &RequestIdentity,
         idempotent: bool,
         attempt: UnsentAttempt,
-        start: TryStart,
+        start: AttemptStart,
         cause: &RefusalCause,
     ) -> Refusal {
         let seals = needs_claim(identity, idempotent) && cause.reason.wants_seal();
@@ -255,7 +255,7 @@
         identity: &RequestIdentity,
         goal: ClaimGoal,
         attempt: AttemptId,
-        start: TryStart,
+        start: AttemptStart,
     ) -> ClaimStep {
         let router = self.router.clone();
         ClaimStep::new(identity.clone(), goal, attempt, router, now(), start)
--- a/crates/guavawell-fleet/src/retention/driver.rs
+++ b/crates/guavawell-fleet/src/retention/driver.rs
@@ -5,13 +5,13 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::id::ClaimGeneration;
 use guavawell_core::id::OrganisationId;
-use guavawell_core::retention::KeeperEffect;
-use guavawell_core::retention::KeeperWrite;
-use guavawell_core::retention::RetentionKeeper;
+use guavawell_core::retention::OrganisationSweep;
+use guavawell_core::retention::RetentionEffect;
+use guavawell_core::retention::RetentionScheduler;
 use guavawell_core::retention::RetentionSettings;
 use guavawell_core::retention::RetentionView;
-use guavawell_core::retention::SweepTour;
-use guavawell_core::retention::step_over;
+use guavawell_core::retention::RetentionWrite;
+use guavawell_core::retention::skip_covered;
 use smol::Timer;
 
 use super::table::PAGE_ROWS;
@@ -74,8 +74,8 @@
 pub struct RetentionDriver {
     parts: RetentionParts,
     table: RetentionTable,
-    keeper: RetentionKeeper,
-    tour: SweepTour,
+    keeper: RetentionScheduler,
+    tour: OrganisationSweep,
 }
 
 impl RetentionDriver {
@@ -84,8 +84,8 @@
     pub fn new(parts: RetentionParts) -> Self {
         Self {
             table: RetentionTable::new(parts.table.clone()),
-            keeper: RetentionKeeper::new(parts.settings),
-            tour: SweepTour::new(ClaimGeneration::default(), Vec::new()),
+            keeper: RetentionScheduler::new(parts.settings),
+            tour: OrganisationSweep::new(ClaimGeneration::default(), Vec::new()),
             parts,
         }
     }
@@ -118,7 +118,7 @@
         let view = self.table.read().await?;
         set_generation(&view);
         let effect = self.keep(&view, now);
-        if let KeeperEffect::Write(write) = effect {
+        if let RetentionEffect::Write(write) = effect {
             return self.write(&view, &write).await;
         }
         self.begin_tour(&view);
@@ -126,7 +126,7 @@
             return self.tour_page(view.due_before()).await;
         }
         match effect {
-            KeeperEffect::Scan { after, due_before } => {
+            RetentionEffect::Scan { after, due_before } => {
                 self.stray_page(after.as_deref(), due_before).await
             }
             _ => Ok(self.parts.pace.look_every),
@@ -134,12 +134,12 @@
     }
 
     /// What the generations' keeper wants, if this router is the one.
-    fn keep(&mut self, view: &RetentionView, now: impl Fn() -> ClockTime) -> KeeperEffect {
+    fn keep(&mut self, view: &RetentionView, now: impl Fn() -> ClockTime) -> RetentionEffect {
         if !(self.parts.is_elected)() {
-            self.keeper.forget();
-            return KeeperEffect::Rest;
+            self.keeper.reset();
+            return RetentionEffect::Idle;
         }
-        self.keeper.read(view.clone(), now());
+        self.keeper.observe(view.clone(), now());
         self.keeper.next(now())
     }
 
@@ -147,17 +147,17 @@
     fn begin_tour(&mut self, view: &RetentionView) {
         let generation = view.generation.generation;
         if view.due_before() > 0 && self.tour.generation() < generation {
-            self.tour = SweepTour::new(generation, (self.parts.toured)());
+            self.tour = OrganisationSweep::new(generation, (self.parts.toured)());
         }
     }
 
     async fn write(
         &mut self,
         view: &RetentionView,
-        write: &KeeperWrite,
+        write: &RetentionWrite,
     ) -> Result<ClockSpan, PlatformError> {
         // Whatever comes of it, the span that it counts is used up.
-        self.keeper.forget();
+        self.keeper.reset();
         let is_written = self.table.write(view, write).await?;
         if let Some(row) = write.advance.filter(|_| is_written) {
             log::info!("claims are written in generation {} now", row.generation);
@@ -181,7 +181,7 @@
         };
         let page = self.table.sweep_page(&ask, due_before, false).await?;
         if !page.is_open {
-            self.tour.looked(page.cursor.clone());
+            self.tour.record_page(page.cursor.clone());
         }
         Ok(self.paid(&page))
     }
@@ -200,9 +200,9 @@
         if !page.is_open {
             let is_toured = &self.parts.is_toured;
             let cursor = page.cursor.as_deref();
-            let cursor = cursor.map(|key| step_over(key, is_toured));
+            let cursor = cursor.map(|key| skip_covered(key, is_toured));
             let is_over = cursor.is_none();
-            self.keeper.swept(cursor, page.deleted);
+            self.keeper.record_page(cursor, page.deleted);
             if is_over {
                 let event = EventDraft::new("retention.swept");
                 self.parts.events.emit(event.field("before", due_before));
--- a/crates/guavawell-fleet/src/retention/table.rs
+++ b/crates/guavawell-fleet/src/retention/table.rs
@@ -1,11 +1,11 @@
 //! The table's rows of retention, and deletes of what is due.
 
 use guavawell_core::platform::WriteClass;
-use guavawell_core::retention::AgedKey;
 use guavawell_core::retention::CLAIM_PREFIX;
 use guavawell_core::retention::GENERATION_KEY;
-use guavawell_core::retention::KeeperWrite;
+use guavawell_core::retention::KeyRevision;
 use guavawell_core::retention::RetentionView;
+use guavawell_core::retention::RetentionWrite;
 use guavawell_core::retention::SWEEP_KEY;
 use guavawell_core::retention::plan_page;
 use serde::de::DeserializeOwned;
@@ -102,7 +102,7 @@
     pub async fn write(
         &self,
         view: &RetentionView,
-        write: &KeeperWrite,
+        write: &RetentionWrite,
     ) -> Result<bool, PlatformError> {
         let mut success = vec![TableOp::put(SWEEP_KEY, json(&write.sweep))];
         if let Some(generation) = &write.advance {
@@ -133,7 +133,7 @@
     ) -> Result<PageReport, PlatformError> {
         let scan = self.table.scan(ask.prefix, ask.after, ask.most).await?;
         let seen = count_of(scan.rows.len());
-        let page: Vec<AgedKey> = scan.rows.into_iter().map(aged_key).collect();
+        let page: Vec<KeyRevision> = scan.rows.into_iter().map(aged_key).collect();
         let step = plan_page(page, scan.more, due_before);
         let mut report = PageReport {
             seen,
@@ -156,15 +156,15 @@
     }
 }
 
-fn aged_key(row: TableRow) -> AgedKey {
-    AgedKey {
+fn aged_key(row: TableRow) -> KeyRevision {
+    KeyRevision {
         key: row.key,
         mod_revision: row.mod_revision,
     }
 }
 
-fn delete(rows: &[AgedKey]) -> TableTxn {
-    let compare = |row: &AgedKey| TableCompare::unchanged(&row.key, row.mod_revision);
+fn delete(rows: &[KeyRevision]) -> TableTxn {
+    let compare = |row: &KeyRevision| TableCompare::unchanged(&row.key, row.mod_revision);
     TableTxn {
         compares: rows.iter().map(compare).collect(),
         success: rows.iter().map(|row| TableOp::delete(&row.key)).collect(),
--- a/crates/guavawell-fleet/src/router/entry.rs
+++ b/crates/guavawell-fleet/src/router/entry.rs
@@ -10,7 +10,7 @@
 use guavawell_core::request::RefusalReason;
 use guavawell_core::request::head::HeadAsk;
 use guavawell_core::request::head::HeadFields;
-use guavawell_core::retention::TryStart;
+use guavawell_core::retention::AttemptStart;
 use http_types::Request;
 
 /// Names the generation of claims in force in an answer, and in a request the
@@ -23,7 +23,7 @@
     /// The checked head.
     pub head: HeadAsk,
     /// When this try of the request began.
-    pub start: TryStart,
+    pub start: AttemptStart,
     /// The budget to draw on.
     pub budget: BudgetId,
     /// The organisation's weight in admission.
@@ -67,9 +67,9 @@
             let detail = format!("`{budget}` is no budget of `{}`", organisation.id);
             return Err(Refusal::unattempted(RefusalReason::UnknownBudget, detail));
         }
-        let start = TryStart {
-            begun,
-            first: head.first,
+        let start = AttemptStart {
+            started_in: begun,
+            first_used_in: head.first,
         };
         Ok(Self {
             head,
--- a/crates/guavawell-fleet/src/router/serve.rs
+++ b/crates/guavawell-fleet/src/router/serve.rs
@@ -101,7 +101,7 @@
 
 /// `GET /v1/models`: the models of the manifest in force.
 fn models(core: &RouterCore, view: &FleetView, request: &Request) -> Response {
-    if let Err(refusal) = CallerEntry::read(view, request, core.claims.start_try().begun) {
+    if let Err(refusal) = CallerEntry::read(view, request, core.claims.start_try().started_in) {
         return refuse(core, None, &refusal);
     }
     let models = view.models().iter();
@@ -115,7 +115,7 @@
 }
 
 async fn chat(core: &Arc<RouterCore>, view: &FleetView, request: &mut Request) -> Response {
-    let entry = match CallerEntry::read(view, request, core.claims.start_try().begun) {
+    let entry = match CallerEntry::read(view, request, core.claims.start_try().started_in) {
         Ok(entry) => entry,
         Err(refusal) => return unread(refuse(core, None, &refusal)),
     };
--- a/crates/guavawell-fleet/src/router/service.rs
+++ b/crates/guavawell-fleet/src/router/service.rs
@@ -57,7 +57,7 @@
     request: &mut Request,
     rest: &str,
 ) -> Response {
-    let entry = match CallerEntry::read(view, request, core.claims.start_try().begun) {
+    let entry = match CallerEntry::read(view, request, core.claims.start_try().started_in) {
         Ok(entry) => entry,
         Err(refusal) => return unread(refuse(core, None, &refusal)),
     };
--- a/crates/guavawell-fleet/tests/retention.rs
+++ b/crates/guavawell-fleet/tests/retention.rs
@@ -13,9 +13,9 @@
 use guavawell_core::request::RefusalReason;
 use guavawell_core::request::RequestIdentity;
 use guavawell_core::request::UnsentAttempt;
+use guavawell_core::retention::AttemptStart;
 use guavawell_core::retention::KEPT_GENERATIONS;
 use guavawell_core::retention::RetentionSettings;
-use guavawell_core::retention::TryStart;
 use guavawell_fleet::claim::BatchSettings;
 use guavawell_fleet::claim::ClaimAnswer;
 use guavawell_fleet::claim::ClaimDriver;
@@ -135,7 +135,7 @@
     }
 }
 
-fn claim(router: &ClaimDriver, number: u128, start: TryStart) -> ClaimAnswer {
+fn claim(router: &ClaimDriver, number: u128, start: AttemptStart) -> ClaimAnswer {
     let identity = RequestIdentity::from_caller("o".parse().unwrap(), "k").unwrap();
     let attempt = UnsentAttempt::new(AttemptId::new(number));
     smol::block_on(router.claim(&identity, attempt, start))
@@ -215,7 +215,7 @@
     test.age_to(&mut sweeper, 1);
     let answer = claim(&router, 1, start);
     assert!(matches!(answer, ClaimAnswer::Held(_)), "{answer:?}");
-    assert_eq!(router.start_try().begun, ClaimGeneration::new(1));
+    assert_eq!(router.start_try().started_in, ClaimGeneration::new(1));
     assert_eq!(router.named_generation(), Some(ClaimGeneration::new(1)));
     let fresh = test.router("r2");
     assert_eq!(
@@ -234,13 +234,13 @@
         claim(&router, 1, router.start_try()),
         ClaimAnswer::Held(_)
     ));
-    let retry = |router: &ClaimDriver| TryStart {
-        first: Some(ClaimGeneration::new(0)),
+    let retry = |router: &ClaimDriver| AttemptStart {
+        first_used_in: Some(ClaimGeneration::new(0)),
         ..router.start_try()
     };
     test.age_to(&mut sweeper, KEPT_GENERATIONS + 2);
     test.sweep(&mut sweeper);
-    let _ = claim(&router, 9, TryStart::default());
+    let _ = claim(&router, 9, AttemptStart::default());
     let answer = refusal(claim(&router, 2, retry(&router)));
     assert_eq!(answer, (RefusalOutcome::Unknown, RefusalReason::IdExpired));
 }
