--- a/crates/guavawell-core/src/retention/generation.rs
+++ b/crates/guavawell-core/src/retention/generation.rs
@@ -1,43 +1,47 @@
-//! Which generation's claims may be gone, and which tries may still write.
+//! Rules for deleting the claims of a generation, and for the attempts that may
+//! still write a claim.
 
 use crate::id::ClaimGeneration;
 
-/// The table's row of the generation in force; absent while it is 0.
+/// Key of the table row with the generation in force; absent while it is 0.
 ///
-/// Every write of a claim compares its revision.
+/// Every write of a claim compares the row's revision.
 pub const GENERATION_KEY: &str = "retention/generation";
 
-/// The table's row of the sweep's progress.
+/// Key of the table row with the sweep's progress.
 pub const SWEEP_KEY: &str = "retention/sweep";
 
-/// Whole generations for which a claim is kept; the retention is as long as
-/// this many generations.
+/// Number of whole generations for which a claim is kept. Together they are as
+/// long as the retention time.
 pub const KEPT_GENERATIONS: u64 = 8;
 
-/// Generations that a try may see end before it writes.
+/// Number of generations that may end between the start of an attempt and its
+/// write.
 const GRACE_GENERATIONS: u64 = 1;
 
 /// Whether claims last written in `generation` may be deleted in `current`.
 ///
-/// A try that begins less than [`KEPT_GENERATIONS`] after a claim's own, and
-/// that writes at most [`GRACE_GENERATIONS`] later than it began, still meets the claim.
+/// An attempt that starts at most [`KEPT_GENERATIONS`] after the claim's
+/// generation and writes at most [`GRACE_GENERATIONS`] after its start still
+/// finds the claim.
 #[must_use]
 pub const fn may_sweep(generation: ClaimGeneration, current: ClaimGeneration) -> bool {
     current.get() > generation.get() + KEPT_GENERATIONS + GRACE_GENERATIONS
 }
 
-/// When a try of an id began.
+/// When an attempt with a request id started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AttemptStart {
-    /// The generation that the router thought in force when it read the
-    /// request. An older one than the true one is safe.
+    /// The last generation that the router knew when it read the request. It
+    /// may be older than the one in force: the attempt may then only write for
+    /// a shorter time.
     pub started_in: ClaimGeneration,
-    /// The generation in which the id was first used, if the caller names it.
+    /// The generation in which the id was first used, if the client states it.
     pub first_used_in: Option<ClaimGeneration>,
 }
 
 impl AttemptStart {
-    /// A try that begins in `started_in`, without the caller's word on the id's age.
+    /// An attempt that starts in `started_in` with an id of unknown age.
     #[must_use]
     pub const fn new(started_in: ClaimGeneration) -> Self {
         Self {
@@ -46,16 +50,17 @@
         }
     }
 
-    /// Whether the try may still write in `current`.
+    /// Whether the attempt may still write in `current`.
     ///
-    /// A later write could come after the sweep of a claim that was written
-    /// while the try was under way.
+    /// After that, a claim that another attempt wrote in the meantime may have
+    /// been deleted, and this attempt would not notice it.
     #[must_use]
     pub const fn may_write(&self, current: ClaimGeneration) -> bool {
         current.get() <= self.started_in.get() + GRACE_GENERATIONS
     }
 
-    /// Whether a claim of the id may have been swept by `current`.
+    /// Whether a claim of the id may have been deleted by `current`. Always
+    /// `false` if the client did not state the id's age.
     #[must_use]
     pub fn may_be_swept(&self, current: ClaimGeneration) -> bool {
         self.first_used_in
--- a/crates/guavawell-core/src/retention/mod.rs
+++ b/crates/guavawell-core/src/retention/mod.rs
@@ -1,8 +1,9 @@
-//! How long the fleet keeps what it writes to the platform.
+//! Decides when claims of request ids may be deleted from the platform's table.
 //!
-//! Decides what may be deleted and when. It never trusts a wall clock: age is
-//! counted in generations, and a generation ends only after spans that single
-//! monotonic clocks saw pass. Billing evidence is never deleted here.
+//! Age is counted in generations instead of wall-clock time, because the clocks
+//! of routers and platform may disagree. A generation ends once time spans
+//! measured by single monotonic clocks add up to its length. Billing records
+//! are never deleted here.
 
 mod generation;
 mod organisations;
--- a/crates/guavawell-core/src/retention/organisations.rs
+++ b/crates/guavawell-core/src/retention/organisations.rs
@@ -1,14 +1,14 @@
-//! One router's part of a pass: the organisations whose claims it looks at.
+//! Sweeps the claims of the organisations that are assigned to one router.
 
 use crate::id::ClaimGeneration;
 use crate::id::OrganisationId;
 
-/// The prefix of all claims.
+/// Key prefix of all claims.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// The claims of some organisations, looked at once in a generation.
+/// Scans the claims of some organisations once per generation.
 ///
-/// It lives in memory only: a router that starts anew looks again.
+/// Progress is kept in memory only, so a router that restarts scans again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrganisationSweep {
     generation: ClaimGeneration,
@@ -17,7 +17,7 @@
 }
 
 impl OrganisationSweep {
-    /// A tour of `organisations` in `generation`.
+    /// Creates a sweep over `organisations` for `generation`.
     pub fn new(
         generation: ClaimGeneration,
         organisations: impl IntoIterator<Item = OrganisationId>,
@@ -32,20 +32,21 @@
         }
     }
 
-    /// The generation that it is for.
+    /// The generation of this sweep.
     #[must_use]
     pub const fn generation(&self) -> ClaimGeneration {
         self.generation
     }
 
-    /// The prefix to look at next, and the last key looked at there.
+    /// The prefix to scan next, and the last key already scanned under it;
+    /// `None` once all organisations are done.
     #[must_use]
     pub fn next(&self) -> Option<(&str, Option<&str>)> {
         let prefix = self.prefixes.last()?;
         Some((prefix, self.after.as_deref()))
     }
 
-    /// Takes note of a page; without a cursor the prefix is done.
+    /// Records a scanned page; without a cursor the prefix is done.
     pub fn record_page(&mut self, cursor: Option<Box<str>>) {
         if cursor.is_none() {
             self.prefixes.pop();
@@ -54,14 +55,16 @@
     }
 }
 
-/// Where a pass over all claims goes on behind `cursor`: organisations that
-/// are looked at by a tour are stepped over.
+/// Returns the key after which a pass over all claims continues from `cursor`.
+/// The rest of an organisation that `is_covered` by a router's own sweep is
+/// skipped.
 #[must_use]
 pub fn skip_covered(cursor: &str, is_covered: impl Fn(&OrganisationId) -> bool) -> Box<str> {
     let suffix = cursor.strip_prefix(CLAIM_PREFIX);
     let name = suffix.and_then(|rest| rest.split_once('/'));
     match name.map(|(name, _)| name.parse::<OrganisationId>()) {
-        // No id holds such a character, so that it stands behind them all.
+        // The highest character occurs in no request id, so this key sorts after
+        // all claims of the organisation.
         Some(Ok(id)) if is_covered(&id) => format!("{CLAIM_PREFIX}{id}/\u{10ffff}").into(),
         _ => cursor.into(),
     }
--- a/crates/guavawell-core/src/retention/pass.rs
+++ b/crates/guavawell-core/src/retention/pass.rs
@@ -1,4 +1,4 @@
-//! One step of a pass over the rows of claims.
+//! Selects the rows of one page of claims that are to be deleted.
 
 /// A row without its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -9,16 +9,18 @@
     pub mod_revision: u64,
 }
 
-/// What a page gives rise to.
+/// The result of scanning a page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PassStep {
-    /// Rows to delete, each only if its revision is still the one seen.
+    /// Rows to delete, each only if its revision is unchanged.
     pub due: Vec<KeyRevision>,
-    /// The last key looked at; the pass goes on behind it. `None`: it is over.
+    /// The last key scanned, after which the pass continues; `None` if the pass
+    /// is complete.
     pub cursor: Option<Box<str>>,
 }
 
-/// Picks the rows of a page that were last written before `due_before`.
+/// Selects the rows of `page` that were last written before `due_before`.
+/// `more` says whether further pages follow.
 #[must_use]
 pub fn plan_page(page: Vec<KeyRevision>, more: bool, due_before: u64) -> PassStep {
     let last = page.last().filter(|_| more);
--- a/crates/guavawell-core/src/retention/scheduler.rs
+++ b/crates/guavawell-core/src/retention/scheduler.rs
@@ -1,12 +1,11 @@
-//! How age is known: the rows of generation and sweep, and who may end a
-//! generation.
+//! Measures the age of generations, ends them, and schedules the sweep.
 //!
-//! The sweep's row counts the time that single monotonic clocks saw pass
-//! while it stood unchanged. Each write adds the span between the moment at
-//! which its writer read the row and the moment at which it sends the write,
-//! if the row is still the one that was read. Such spans never overlap, so
-//! their sum is never longer than the time that really passed; a writer that
-//! pauses, crashes or loses a race only makes it shorter.
+//! The sweep row holds the age of the generation in force. A writer reads the
+//! row, measures time with its own monotonic clock, and adds the time between
+//! that read and its write. The write takes effect only if the row is still the
+//! one that was read. The added spans therefore never overlap, and their sum
+//! never exceeds the time that has really passed. A writer that pauses, crashes
+//! or loses a race only makes the sum smaller.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -27,39 +26,41 @@
 /// The row at [`super::SWEEP_KEY`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SweepRow {
-    /// Time that the generation in force has lasted at least.
+    /// Measured age of the generation in force; the real age is never less.
     pub aged: ClockSpan,
-    /// Revisions at which former generations began, oldest first; as many as
-    /// a sweep needs.
+    /// Revisions at which earlier generations began, oldest first. Only as many
+    /// as a sweep needs are kept.
     pub starts: Vec<u64>,
-    /// The generation in which the pass under way, or the last one, began.
+    /// The generation in which the current or most recent pass over all claims
+    /// began.
     pub pass: ClaimGeneration,
-    /// Where the pass under way stands; `None` once it is over.
+    /// The last key scanned by the current pass; `None` if no pass is running.
     pub cursor: Option<Box<str>>,
-    /// Rows deleted since the fleet's beginning; a lost note loses some.
+    /// Rows deleted by all passes so far. Rows deleted after the last
+    /// checkpoint of a router that stopped are not counted.
     pub deleted: u64,
 }
 
 /// Both rows, as read in one transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RetentionView {
-    /// The row of the generation.
+    /// The generation row.
     pub generation: GenerationRow,
     /// Its revision; 0 for an absent row.
     pub generation_revision: u64,
-    /// The row of the sweep.
+    /// The sweep row.
     pub sweep: SweepRow,
     /// Its revision; 0 for an absent row.
     pub sweep_revision: u64,
 }
 
 impl RetentionView {
-    /// Rows last written before this revision may be deleted; 0: none.
+    /// Claims last written before this revision may be deleted; 0 if none may.
     #[must_use]
     pub fn due_before(&self) -> u64 {
         let starts = &self.sweep.starts;
-        // The generation in force began at its row's revision, the one before
-        // at the last of `starts`, and so on.
+        // The generation in force began at the revision of its row, the one
+        // before it at the last entry of `starts`, and so on.
         let kept_starts = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
         starts
             .len()
@@ -68,32 +69,35 @@
     }
 }
 
-/// A write of the sweep's row, and of the generation's if it ends.
+/// A write of the sweep row, and of the generation row if the generation ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RetentionWrite {
-    /// The sweep's row.
+    /// The new sweep row.
     pub sweep: SweepRow,
-    /// The next generation, if the one in force ends.
+    /// The new generation row, if the generation in force ends.
     pub advance: Option<GenerationRow>,
 }
 
-/// What the driver does next.
+/// Action that the caller performs next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RetentionEffect {
-    /// Write, comparing both rows' revisions; then read them again.
+    /// Write if the revisions of both rows are unchanged, then read both again.
     Write(RetentionWrite),
-    /// Look at the page behind the cursor for rows before the revision.
+    /// Scan the next page of all claims.
     Scan {
-        /// The last key that was looked at.
+        /// The last key scanned so far.
         after: Option<Box<str>>,
-        /// Rows last written before it may go.
+        /// Delete the claims last written before this revision.
         due_before: u64,
     },
     /// Nothing is due.
     Idle,
 }
 
-/// One router's part in keeping the generations; others may do the same.
+/// Schedules generations and passes over all claims in one router.
+///
+/// Several routers may do so at the same time, since each write compares the
+/// rows' revisions.
 #[derive(Clone, Debug)]
 pub struct RetentionScheduler {
     settings: RetentionSettings,
@@ -103,14 +107,14 @@
 #[derive(Clone, Debug)]
 struct ObservedView {
     view: RetentionView,
-    /// When its answer had come.
+    /// When the response to the read had arrived.
     at: ClockTime,
-    /// Progress since, not noted in the table yet.
+    /// The sweep row with the progress made since, not yet written.
     sweep: SweepRow,
 }
 
 impl RetentionScheduler {
-    /// A keeper that has seen nothing.
+    /// Creates a scheduler that has not read the rows yet.
     #[must_use]
     pub const fn new(settings: RetentionSettings) -> Self {
         Self {
@@ -119,7 +123,8 @@
         }
     }
 
-    /// Takes what a read found; `now` is taken after its answer came.
+    /// Records the result of a read. The caller must take `now` after the
+    /// response has arrived, so that no time before the read is counted.
     pub fn observe(&mut self, view: RetentionView, now: ClockTime) {
         if self
             .observed
@@ -136,13 +141,13 @@
         });
     }
 
-    /// Forgets what was read, after a write with whatever answer or while
-    /// another router is elected.
+    /// Discards the last read. Called for each write, whatever its result,
+    /// and while another router is elected.
     pub fn reset(&mut self) {
         self.observed = None;
     }
 
-    /// Takes note of a page that was looked at.
+    /// Records a scanned page; without a cursor the pass has ended.
     pub fn record_page(&mut self, cursor: Option<Box<str>>, deleted: u64) {
         if let Some(observed) = &mut self.observed {
             if observed.sweep.cursor.is_none() {
@@ -153,7 +158,7 @@
         }
     }
 
-    /// What to do at `now`.
+    /// Returns the action that is due at `now`.
     #[must_use]
     pub fn next(&self, now: ClockTime) -> RetentionEffect {
         let Some(observed) = &self.observed else {
@@ -177,8 +182,9 @@
         observed.scan()
     }
 
-    /// A generation is noted several times, or a fleet whose routers live
-    /// shorter than one would never end it.
+    /// The time between two checkpoints, at most a quarter of a generation. If
+    /// routers always stopped before the first checkpoint, the generation would
+    /// never end.
     fn checkpoint_interval(&self) -> ClockSpan {
         let quarter = self.settings.generation().as_millis() / 4;
         let quarter = ClockSpan::from_millis(quarter.max(1));
@@ -187,6 +193,7 @@
 }
 
 impl ObservedView {
+    /// The write that ends the generation in force.
     fn advance(&self, mut sweep: SweepRow) -> RetentionWrite {
         let kept_starts = usize::try_from(KEPT_GENERATIONS + 1).unwrap_or(usize::MAX);
         sweep.starts.push(self.view.generation_revision);
@@ -200,8 +207,9 @@
         }
     }
 
-    /// The pass under way goes on; a new one begins once in a retention, for
-    /// organisations that no router tours.
+    /// Continues the current pass, or starts one if the last one began a whole
+    /// retention time ago. Passes over all claims are needed for organisations
+    /// that are not assigned to any router.
     fn scan(&self) -> RetentionEffect {
         let due_before = self.view.due_before();
         let next_pass = self.sweep.pass.get() + KEPT_GENERATIONS;
--- a/crates/guavawell-core/src/retention/settings.rs
+++ b/crates/guavawell-core/src/retention/settings.rs
@@ -1,15 +1,15 @@
-//! Spans and rates of retention.
+//! Retention settings.
 
 use super::generation::KEPT_GENERATIONS;
 use crate::clock::ClockSpan;
 
-/// How long things are kept, and how fast the rest goes.
+/// How long claims are kept, and how often progress is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionSettings {
-    /// How long the claim of an id is kept at least after its last write; zero
-    /// keeps claims for ever.
+    /// Minimum time for which a claim is kept after its last write; zero keeps
+    /// claims forever.
     pub claims: ClockSpan,
-    /// Time between two writes of the sweep's progress.
+    /// Maximum time between two writes of the sweep's progress.
     pub checkpoint_interval: ClockSpan,
 }
 
--- a/crates/guavawell-core/tests/retention.rs
+++ b/crates/guavawell-core/tests/retention.rs
@@ -1,4 +1,5 @@
-//! Generations: how age is known without trust in clocks, and what is due.
+//! Tests of the age of generations, which does not depend on wall clocks, and of
+//! the choice of claims to delete.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
@@ -17,7 +18,7 @@
 use guavawell_core::retention::plan_page;
 use guavawell_core::retention::skip_covered;
 
-/// A generation of 1,000 ms, noted every 250 ms.
+/// Generations of 1,000 ms with a checkpoint every 250 ms.
 fn settings() -> RetentionSettings {
     RetentionSettings {
         claims: ClockSpan::from_millis(1_000 * KEPT_GENERATIONS),
@@ -29,7 +30,7 @@
     ClockTime::from_millis(millis)
 }
 
-/// The table's rows, changed by compare-and-swap.
+/// The two table rows, changed by compare-and-swap.
 #[derive(Default)]
 struct Rows {
     view: RetentionView,
@@ -56,8 +57,9 @@
     }
 }
 
-/// Routers with clocks of their own, each slower than the true time or equal;
-/// some pause between the read and the write, some die.
+/// Three routers with independent clock offsets read and write the rows in random
+/// order. Some pause between read and write, and some restart. A generation that
+/// ended early would delete claims too soon.
 #[test]
 fn no_generation_is_shorter_than_configured_despite_pauses_and_restarts() {
     for seed in 0..200 {
@@ -123,8 +125,9 @@
     assert_eq!(scheduler.next(at(99_000)), RetentionEffect::Idle);
 }
 
-/// Ends `count` generations; the claims of generation `n` are the revisions
-/// between the starts of `n` and `n + 1`.
+/// Ends `count` generations and returns the rows and the revisions at which each
+/// generation began. Claims of generation `n` have the revisions between the
+/// starts of `n` and `n + 1`.
 fn rows_after(count: u64) -> (Rows, Vec<u64>) {
     let mut rows = Rows::default();
     let mut scheduler = RetentionScheduler::new(settings());
