--- a/crates/guavawell-core/src/finding/source.rs
+++ b/crates/guavawell-core/src/finding/source.rs
@@ -49,7 +49,7 @@
     /// The line of a byte offset, counted from 1.
     #[must_use]
     pub fn line(&self, offset: usize) -> u32 {
-        saturate(self.line_index(offset) + 1)
+        saturating_u32(self.line_index(offset) + 1)
     }
 
     /// The first line starts at 0, so some line starts at or before `offset`.
@@ -60,11 +60,11 @@
     /// Notes a problem at a byte offset.
     pub fn report(&mut self, offset: usize, key: &str, problem: FindingProblem) {
         let line_start = self.line_starts[self.line_index(offset)];
-        let before = self.text.get(line_start..offset).unwrap_or_default();
+        let prefix = self.text.get(line_start..offset).unwrap_or_default();
         let place = FindingPlace {
             file: self.file.clone(),
             line: self.line(offset),
-            column: saturate(before.chars().count() + 1),
+            column: saturating_u32(prefix.chars().count() + 1),
             key: key.into(),
         };
         self.findings.push(Finding { place, problem });
@@ -79,6 +79,6 @@
     }
 }
 
-fn saturate(count: usize) -> u32 {
+fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
