--- a/crates/guavawell-core/examples/platform_share/main.rs
+++ b/crates/guavawell-core/examples/platform_share/main.rs
@@ -10,12 +10,12 @@
 )]
 #![allow(dead_code, reason = "the tests use the rest of the world")]
 
-#[path = "../../tests/platform_share/world.rs"]
-mod world;
+#[path = "../../tests/platform_share/simulation.rs"]
+mod simulation;
 
-use world::Sharing;
-use world::World;
-use world::WriteLoad;
+use simulation::Sharing;
+use simulation::Simulation;
+use simulation::WriteLoad;
 
 const ZONES: usize = 7;
 /// What a fixed share meets.
@@ -80,28 +80,28 @@
     ]
 }
 
-fn run(routers: usize, sharing: Sharing, prepare: impl Fn(&mut World)) -> World {
+fn run(routers: usize, sharing: Sharing, prepare: impl Fn(&mut Simulation)) -> Simulation {
     let (limit, load) = match sharing {
         Sharing::Fixed(1) => (LIMIT, NODE_BY_HAND),
         Sharing::Fixed(_) => (LIMIT, NODE),
         Sharing::Fleet(budget) => (budget * 5 / 4, NODE),
     };
-    let mut world = World::new(routers, ZONES, sharing, limit, SEED);
+    let mut world = Simulation::new(routers, ZONES, sharing, limit, SEED);
     world.load_all(load);
     prepare(&mut world);
     world.run(WARM_SECONDS);
-    world.measure_anew();
+    world.reset_outcome();
     world.run(SECONDS);
     world
 }
 
-fn row(routers: usize, sharing: Sharing, world: &World) {
+fn row(routers: usize, sharing: Sharing, world: &Simulation) {
     let outcome = &world.outcome;
     println!(
         "{routers:>7}  {:<12} {:>13}  {:>4}  {:>9}  {:>6}  {:>11}  {:>5}  {:>6}  {:>11.1}",
         name(sharing),
         outcome.mean_offered(),
-        outcome.most_offered(),
+        outcome.max_offered(),
         outcome.overloads,
         outcome.claim_waits.len(),
         outcome.claim_wait(50),
--- a/crates/guavawell-core/src/platform/backoff.rs
+++ b/crates/guavawell-core/src/platform/backoff.rs
@@ -3,7 +3,7 @@
 use crate::clock::ClockSpan;
 
 /// The largest exponent, so that the shift never overflows.
-const MAX_DOUBLINGS: u32 = 20;
+const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
 /// A random part of a whole, drawn by the caller: 0 for none, `u16::MAX` for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,11 +32,11 @@
     /// doubled wait and all of it.
     #[must_use]
     pub fn wait(&self, failures: u32, jitter: Jitter) -> ClockSpan {
-        let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
         let doubled = self.first.as_millis().saturating_mul(1 << doublings);
-        let whole = doubled.min(self.longest.as_millis());
-        let half = whole / 2;
-        let spread = (whole - half) * u64::from(jitter.0) / u64::from(u16::MAX);
+        let capped = doubled.min(self.longest.as_millis());
+        let half = capped / 2;
+        let spread = (capped - half) * u64::from(jitter.0) / u64::from(u16::MAX);
         ClockSpan::from_millis(half + spread)
     }
 }
--- a/crates/guavawell-core/src/platform/bucket.rs
+++ b/crates/guavawell-core/src/platform/bucket.rs
@@ -20,7 +20,7 @@
 
 /// Whether an operation may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShareAnswer {
+pub enum TakeResult {
     /// It may; it was taken from the share.
     Granted,
     /// Not before this span has passed.
@@ -29,53 +29,56 @@
 
 /// The bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PaceBucket {
+pub(super) struct TokenBucket {
     policy: SharePolicy,
-    micro: u64,
-    filled: ClockTime,
+    micro_tokens: u64,
+    refilled_at: ClockTime,
 }
 
-impl PaceBucket {
+impl TokenBucket {
     /// A full bucket.
     pub const fn new(policy: SharePolicy, now: ClockTime) -> Self {
         Self {
             policy,
-            micro: policy.burst as u64 * MICRO,
-            filled: now,
+            micro_tokens: policy.burst as u64 * MICRO,
+            refilled_at: now,
         }
     }
 
     /// Another pace; what was saved up beyond the new burst is lost.
     pub fn set_policy(&mut self, policy: SharePolicy, now: ClockTime) {
-        self.fill(now);
+        self.refill(now);
         self.policy = policy;
-        self.micro = self.micro.min(self.capacity());
+        self.micro_tokens = self.micro_tokens.min(self.capacity());
     }
 
     /// Loses all that was saved up.
-    pub fn empty(&mut self, now: ClockTime) {
-        self.fill(now);
-        self.micro = 0;
+    pub fn clear(&mut self, now: ClockTime) {
+        self.refill(now);
+        self.micro_tokens = 0;
     }
 
     /// Takes one operation, if the bucket still has it for this urgency.
-    pub fn take(&mut self, urgency: ShareUrgency, now: ClockTime) -> ShareAnswer {
-        self.fill(now);
-        let wanted = self.kept_from(urgency) + MICRO;
-        if self.micro >= wanted {
-            self.micro -= MICRO;
-            return ShareAnswer::Granted;
+    pub fn take(&mut self, urgency: ShareUrgency, now: ClockTime) -> TakeResult {
+        self.refill(now);
+        let needed = self.reserved_above(urgency) + MICRO;
+        if self.micro_tokens >= needed {
+            self.micro_tokens -= MICRO;
+            return TakeResult::Granted;
         }
-        let missing = wanted - self.micro;
+        let missing = needed - self.micro_tokens;
         let gain = self.policy.rate.as_milli().max(1);
-        ShareAnswer::Wait(ClockSpan::from_millis(missing.div_ceil(gain)))
+        TakeResult::Wait(ClockSpan::from_millis(missing.div_ceil(gain)))
     }
 
-    fn fill(&mut self, now: ClockTime) {
-        let millis = now.since(self.filled).as_millis();
+    fn refill(&mut self, now: ClockTime) {
+        let millis = now.since(self.refilled_at).as_millis();
         let gained = millis.saturating_mul(self.policy.rate.as_milli());
-        self.micro = self.micro.saturating_add(gained).min(self.capacity());
-        self.filled = self.filled.max(now);
+        self.micro_tokens = self
+            .micro_tokens
+            .saturating_add(gained)
+            .min(self.capacity());
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     const fn capacity(&self) -> u64 {
@@ -84,8 +87,8 @@
 
     /// What an urgency may not touch. At least one operation of any urgency
     /// fits, however small the burst.
-    fn kept_from(&self, urgency: ShareUrgency) -> u64 {
-        let kept = self.capacity() * u64::from(urgency.kept_percent) / PERCENT;
-        kept.min(self.capacity().saturating_sub(MICRO))
+    fn reserved_above(&self, urgency: ShareUrgency) -> u64 {
+        let reserved = self.capacity() * u64::from(urgency.reserved_percent) / PERCENT;
+        reserved.min(self.capacity().saturating_sub(MICRO))
     }
 }
--- a/crates/guavawell-core/src/platform/circuit.rs
+++ b/crates/guavawell-core/src/platform/circuit.rs
@@ -31,7 +31,7 @@
 
 /// Whether an exchange may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CircuitAnswer {
+pub enum CircuitDecision {
     /// It may.
     Pass,
     /// It may, as the one probe of an open circuit.
@@ -73,24 +73,24 @@
     }
 
     /// Whether an exchange may start now; a probe is given to one at a time.
-    pub fn admit(&mut self, now: ClockTime) -> CircuitAnswer {
+    pub fn admit(&mut self, now: ClockTime) -> CircuitDecision {
         match self.state {
-            CircuitState::Closed => CircuitAnswer::Pass,
-            CircuitState::Open { until } if now < until => CircuitAnswer::Open(until.since(now)),
+            CircuitState::Closed => CircuitDecision::Pass,
+            CircuitState::Open { until } if now < until => CircuitDecision::Open(until.since(now)),
             CircuitState::Probing { since } if now < since + self.policy.probe_timeout => {
                 let end = since + self.policy.probe_timeout;
-                CircuitAnswer::Open(end.since(now))
+                CircuitDecision::Open(end.since(now))
             }
             CircuitState::Open { .. } | CircuitState::Probing { .. } => {
                 self.state = CircuitState::Probing { since: now };
-                CircuitAnswer::Probe
+                CircuitDecision::Probe
             }
         }
     }
 
     /// An exchange was answered, if only by a refusal; true if that closed
     /// the circuit.
-    pub fn answered(&mut self) -> bool {
+    pub fn record_response(&mut self) -> bool {
         let was_open = self.is_open();
         self.failures = 0;
         self.state = CircuitState::Closed;
@@ -98,14 +98,14 @@
     }
 
     /// An exchange had no answer; true if that opened the circuit.
-    pub fn failed(&mut self, now: ClockTime, jitter: Jitter) -> bool {
+    pub fn record_failure(&mut self, now: ClockTime, jitter: Jitter) -> bool {
         let was_open = self.is_open();
         self.failures = self.failures.saturating_add(1);
-        let beyond = self.failures.saturating_sub(self.policy.failures);
+        let excess = self.failures.saturating_sub(self.policy.failures);
         if self.failures < self.policy.failures {
             return false;
         }
-        let wait = self.policy.probes.wait(beyond + 1, jitter);
+        let wait = self.policy.probes.wait(excess + 1, jitter);
         self.state = CircuitState::Open { until: now + wait };
         !was_open
     }
--- a/crates/guavawell-core/src/platform/class.rs
+++ b/crates/guavawell-core/src/platform/class.rs
@@ -67,36 +67,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareUrgency {
     /// What it leaves to more urgent operations, in percent of the burst.
-    pub kept_percent: u8,
+    pub reserved_percent: u8,
     /// Whether its waiting counts as demand for more than the own share.
-    pub borrows: bool,
+    pub raises_demand: bool,
 }
 
 impl From<WriteClass> for ShareUrgency {
     fn from(class: WriteClass) -> Self {
-        let kept_percent = match class {
+        let reserved_percent = match class {
             WriteClass::Money => 0,
             WriteClass::Claim => 25,
             WriteClass::Journal => 50,
             WriteClass::Rest => 75,
         };
         Self {
-            kept_percent,
-            borrows: class != WriteClass::Rest,
+            reserved_percent,
+            raises_demand: class != WriteClass::Rest,
         }
     }
 }
 
 impl From<ReadClass> for ShareUrgency {
     fn from(class: ReadClass) -> Self {
-        let kept_percent = match class {
+        let reserved_percent = match class {
             ReadClass::Row => 0,
             ReadClass::Poll => 25,
             ReadClass::Bulk => 50,
         };
         Self {
-            kept_percent,
-            borrows: true,
+            reserved_percent,
+            raises_demand: true,
         }
     }
 }
--- a/crates/guavawell-core/src/platform/loan.rs
+++ b/crates/guavawell-core/src/platform/fair_share.rs
@@ -10,7 +10,7 @@
 /// never grows with the demand of another: with one picture of the demands the
 /// parts sum up to the pool at most.
 #[must_use]
-pub fn borrowed(pool: PlatformRate, own: PlatformRate, others: &[PlatformRate]) -> PlatformRate {
+pub fn fair_share(pool: PlatformRate, own: PlatformRate, others: &[PlatformRate]) -> PlatformRate {
     if own == PlatformRate::ZERO {
         return PlatformRate::ZERO;
     }
@@ -31,5 +31,5 @@
         rest -= demand;
         left -= 1;
     }
-    own.plus(PlatformRate::from_milli(rest / borrowers))
+    own.saturating_add(PlatformRate::from_milli(rest / borrowers))
 }
--- a/crates/guavawell-core/src/platform/fleet.rs
+++ b/crates/guavawell-core/src/platform/fleet.rs
@@ -5,7 +5,7 @@
 //! those that announced demand beyond their floor.
 
 use super::bucket::SharePolicy;
-use super::loan::borrowed;
+use super::fair_share::fair_share;
 use super::rate::PlatformRate;
 use super::size::FleetSize;
 use crate::clock::ClockSpan;
@@ -20,37 +20,37 @@
     pub floor_percent: u8,
     /// Time in which an announcement reaches the zone and is reckoned with
     /// there: nothing is borrowed on a demand that others may not know yet.
-    pub spread: ClockSpan,
+    pub propagation_time: ClockSpan,
     /// The least demand announced. Demands are rounded up to this, doubled any
     /// number of times, so that few changes have to be told.
-    pub least: PlatformRate,
+    pub min_demand: PlatformRate,
     /// Time for which a demand that fell is announced as it was.
-    pub hold: ClockSpan,
+    pub hold_time: ClockSpan,
     /// Time after which an unchanged demand is announced again.
-    pub renew: ClockSpan,
+    pub renew_interval: ClockSpan,
     /// Seconds of the share that may be saved up.
     pub burst_seconds: u32,
     /// Operations that may be saved up at least, however small the share.
-    pub least_burst: u32,
+    pub min_burst: u32,
 }
 
 impl Default for SharingPolicy {
     fn default() -> Self {
         Self {
             floor_percent: 50,
-            spread: ClockSpan::from_millis(3_000),
-            least: PlatformRate::from_milli(500),
-            hold: ClockSpan::from_millis(40_000),
-            renew: ClockSpan::from_millis(25_000),
+            propagation_time: ClockSpan::from_millis(3_000),
+            min_demand: PlatformRate::from_milli(500),
+            hold_time: ClockSpan::from_millis(40_000),
+            renew_interval: ClockSpan::from_millis(25_000),
             burst_seconds: 2,
-            least_burst: 4,
+            min_burst: 4,
         }
     }
 }
 
 /// What is known when a share is reckoned.
 #[derive(Clone, Copy, Debug)]
-pub struct ShareSigns<'s> {
+pub struct ShareInputs<'s> {
     /// How many routers share the platform.
     pub size: FleetSize,
     /// Live routers of the own zone, with this one.
@@ -83,8 +83,8 @@
     policy: SharingPolicy,
     budget: PlatformRate,
     /// The last announcement older than the spread, and those since.
-    announced: Vec<Announcement>,
-    renewed: ClockTime,
+    announcements: Vec<Announcement>,
+    announced_at: ClockTime,
 }
 
 impl FleetShare {
@@ -98,78 +98,84 @@
         Self {
             policy,
             budget,
-            announced: vec![none],
-            renewed: now,
+            announcements: vec![none],
+            announced_at: now,
         }
     }
 
     /// Reckons the share anew.
-    pub fn review(&mut self, signs: &ShareSigns<'_>, now: ClockTime) -> ShareDecision {
+    pub fn update(&mut self, inputs: &ShareInputs<'_>, now: ClockTime) -> ShareDecision {
         let floors = self
             .budget
-            .part(u64::from(self.policy.floor_percent), PERCENT);
-        let floor = signs.size.part(floors, 1);
-        let pool = signs
+            .fraction(u64::from(self.policy.floor_percent), PERCENT);
+        let floor = inputs.size.share_of(floors, 1);
+        let pool = inputs
             .size
-            .part(self.budget.beyond(floors), signs.zone_live.max(1));
-        let announce = self.announce(signs.demand.beyond(floor), now);
-        let own = self.heard(now);
-        let rate = floor.plus(borrowed(pool, own, signs.others));
+            .share_of(self.budget.saturating_sub(floors), inputs.zone_live.max(1));
+        let announce = self.announce(inputs.demand.saturating_sub(floor), now);
+        let own = self.min_known_demand(now);
+        let rate = floor.saturating_add(fair_share(pool, own, inputs.others));
         ShareDecision {
-            policy: self.paced(rate),
+            policy: self.with_burst(rate),
             announce,
         }
     }
 
     /// A share of `rate`, with what may be saved up of it.
     #[must_use]
-    pub fn paced(&self, rate: PlatformRate) -> SharePolicy {
-        let saved = rate.part(u64::from(self.policy.burst_seconds), 1_000);
+    pub fn with_burst(&self, rate: PlatformRate) -> SharePolicy {
+        let saved = rate.fraction(u64::from(self.policy.burst_seconds), 1_000);
         let saved = u32::try_from(saved.as_milli()).unwrap_or(u32::MAX);
         SharePolicy {
             rate,
-            burst: saved.max(self.policy.least_burst),
+            burst: saved.max(self.policy.min_burst),
         }
     }
 
     /// Announces a demand that changed much, or that has to be renewed.
     fn announce(&mut self, demand: PlatformRate, now: ClockTime) -> Option<PlatformRate> {
-        let demand = self.rounded(demand);
+        let demand = self.round_up(demand);
         let (last, changed) = self.last();
-        let rises = demand > last;
-        let is_held = now.since(changed) < self.policy.hold;
-        let falls = demand < last.part(1, 2) && !is_held;
-        if rises || falls {
-            self.announced.push(Announcement { at: now, demand });
-        } else if now.since(self.renewed) < self.policy.renew || last == PlatformRate::ZERO {
+        let is_higher = demand > last;
+        let is_on_hold = now.since(changed) < self.policy.hold_time;
+        let is_lower = demand < last.fraction(1, 2) && !is_on_hold;
+        if is_higher || is_lower {
+            self.announcements.push(Announcement { at: now, demand });
+        } else if now.since(self.announced_at) < self.policy.renew_interval
+            || last == PlatformRate::ZERO
+        {
             return None;
         }
-        self.renewed = now;
+        self.announced_at = now;
         Some(self.last().0)
     }
 
-    fn rounded(&self, demand: PlatformRate) -> PlatformRate {
-        let least = self.policy.least.as_milli().max(1);
-        if demand.as_milli() < least {
+    fn round_up(&self, demand: PlatformRate) -> PlatformRate {
+        let min_demand = self.policy.min_demand.as_milli().max(1);
+        if demand.as_milli() < min_demand {
             return PlatformRate::ZERO;
         }
-        let times = demand.as_milli().div_ceil(least).next_power_of_two();
-        PlatformRate::from_milli(least.saturating_mul(times))
+        let multiple = demand.as_milli().div_ceil(min_demand).next_power_of_two();
+        PlatformRate::from_milli(min_demand.saturating_mul(multiple))
     }
 
     /// The demand announced last, and when it changed.
     fn last(&self) -> (PlatformRate, ClockTime) {
-        let last = self.announced.last();
+        let last = self.announcements.last();
         last.map_or_else(Default::default, |last| (last.demand, last.at))
     }
 
     /// The least demand that any router of the zone may reckon with.
-    fn heard(&mut self, now: ClockTime) -> PlatformRate {
-        let spread = self.policy.spread;
-        let is_old = |announcement: &Announcement| now.since(announcement.at) >= spread;
-        let old = self.announced.iter().filter(|one| is_old(one)).count();
-        self.announced.drain(..old.saturating_sub(1));
-        let demands = self.announced.iter().map(|one| one.demand);
+    fn min_known_demand(&mut self, now: ClockTime) -> PlatformRate {
+        let propagation_time = self.policy.propagation_time;
+        let is_known = |announcement: &Announcement| now.since(announcement.at) >= propagation_time;
+        let old = self
+            .announcements
+            .iter()
+            .filter(|one| is_known(one))
+            .count();
+        self.announcements.drain(..old.saturating_sub(1));
+        let demands = self.announcements.iter().map(|one| one.demand);
         demands.min().unwrap_or(PlatformRate::ZERO)
     }
 }
--- a/crates/guavawell-core/src/platform/mod.rs
+++ b/crates/guavawell-core/src/platform/mod.rs
@@ -4,47 +4,47 @@
 //! Owns the pace only. What is written, and what a lost answer means, belongs
 //! to the aggregates that write.
 
+mod background;
 mod backoff;
 mod bucket;
-mod carrier;
 mod circuit;
 mod class;
 mod demand;
+mod fair_share;
 mod fleet;
-mod loan;
-mod pushback;
 mod rate;
+mod relay;
 mod share;
 mod size;
-mod spare;
 #[cfg(test)]
 mod tests;
+mod throttle;
 
+pub use background::SegmentInterval;
+pub use background::background_rate;
 pub use backoff::BackoffPolicy;
 pub use backoff::Jitter;
-pub use bucket::ShareAnswer;
 pub use bucket::SharePolicy;
-pub use carrier::CarrierBook;
-pub use carrier::CarrierPeer;
-pub use carrier::MAX_CARRIERS;
-pub use circuit::CircuitAnswer;
+pub use bucket::TakeResult;
+pub use circuit::CircuitDecision;
 pub use circuit::CircuitPolicy;
 pub use circuit::PlatformCircuit;
 pub use class::ReadClass;
 pub use class::ShareUrgency;
 pub use class::WriteClass;
 pub use demand::ShareDemand;
+pub use fair_share::fair_share;
 pub use fleet::FleetShare;
 pub use fleet::ShareDecision;
-pub use fleet::ShareSigns;
+pub use fleet::ShareInputs;
 pub use fleet::SharingPolicy;
-pub use loan::borrowed;
-pub use pushback::PushBack;
-pub use pushback::PushBackPolicy;
 pub use rate::PlatformRate;
+pub use relay::MAX_RELAYS;
+pub use relay::RelayPeer;
+pub use relay::RelaySelector;
 pub use share::PlatformShare;
 pub use size::FleetSize;
+pub use size::SizeInputs;
 pub use size::SizePolicy;
-pub use size::SizeSigns;
-pub use spare::SegmentWait;
-pub use spare::spare_rate;
+pub use throttle::ShareThrottle;
+pub use throttle::ThrottlePolicy;
--- a/crates/guavawell-core/src/platform/rate.rs
+++ b/crates/guavawell-core/src/platform/rate.rs
@@ -38,20 +38,20 @@
 
     /// The part `dividend / divisor` of it; a divisor of 0 counts as 1.
     #[must_use]
-    pub const fn part(self, dividend: u64, divisor: u64) -> Self {
+    pub const fn fraction(self, dividend: u64, divisor: u64) -> Self {
         let divisor = if divisor == 0 { 1 } else { divisor };
         Self(self.0.saturating_mul(dividend) / divisor)
     }
 
     /// The sum of two rates.
     #[must_use]
-    pub const fn plus(self, other: Self) -> Self {
+    pub const fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
     /// What is left of it beyond `other`.
     #[must_use]
-    pub const fn beyond(self, other: Self) -> Self {
+    pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
--- a/crates/guavawell-core/src/platform/tests.rs
+++ b/crates/guavawell-core/src/platform/tests.rs
@@ -1,16 +1,16 @@
 //! The platform's share, circuit and waits, by their own clock.
 
 use super::BackoffPolicy;
-use super::CarrierBook;
-use super::CarrierPeer;
-use super::CircuitAnswer;
+use super::CircuitDecision;
 use super::CircuitPolicy;
 use super::Jitter;
 use super::PlatformCircuit;
 use super::PlatformRate;
 use super::PlatformShare;
-use super::ShareAnswer;
+use super::RelayPeer;
+use super::RelaySelector;
 use super::SharePolicy;
+use super::TakeResult;
 use super::WriteClass;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn waits_double_up_to_the_longest_and_spread_over_half() {
+fn waits_double_up_to_the_longest_with_jitter_over_the_upper_half() {
     let policy = BackoffPolicy {
         first: span(100),
         longest: span(1_000),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn urgent_classes_find_what_the_others_must_leave() {
+fn a_part_of_the_burst_is_reserved_for_more_urgent_classes() {
     let policy = SharePolicy {
         rate: PlatformRate::per_second(10),
         burst: 8,
@@ -46,7 +46,7 @@
     let mut share = PlatformShare::new(policy, at(0));
     let mut drain = |class| {
         let mut granted = 0;
-        while share.take(class, at(0)) == ShareAnswer::Granted {
+        while share.take(class, at(0)) == TakeResult::Granted {
             granted += 1;
         }
         granted
@@ -56,16 +56,16 @@
     assert_eq!(drained, [2, 2, 2, 2]);
     assert_eq!(
         share.take(WriteClass::Money, at(0)),
-        ShareAnswer::Wait(span(100))
+        TakeResult::Wait(span(100))
     );
     assert_eq!(
         share.take(WriteClass::Claim, at(0)),
-        ShareAnswer::Wait(span(300))
+        TakeResult::Wait(span(300))
     );
-    assert_eq!(share.take(WriteClass::Money, at(100)), ShareAnswer::Granted);
+    assert_eq!(share.take(WriteClass::Money, at(100)), TakeResult::Granted);
     assert_eq!(
         share.take(WriteClass::Claim, at(10_000)),
-        ShareAnswer::Granted
+        TakeResult::Granted
     );
 }
 
@@ -79,7 +79,7 @@
     let mut granted = 0;
     for millis in 0..60_000 {
         for class in WriteClass::ALL {
-            granted += u32::from(share.take(class, at(millis)) == ShareAnswer::Granted);
+            granted += u32::from(share.take(class, at(millis)) == TakeResult::Granted);
         }
     }
     assert!(granted <= 20 * 60 + 40, "{granted}");
@@ -94,7 +94,7 @@
     };
     for class in WriteClass::ALL {
         let mut share = PlatformShare::new(policy, at(0));
-        assert_eq!(share.take(class, at(0)), ShareAnswer::Granted, "{class}");
+        assert_eq!(share.take(class, at(0)), TakeResult::Granted, "{class}");
     }
 }
 
@@ -105,14 +105,14 @@
         burst: 1,
     };
     let mut share = PlatformShare::new(policy, at(50));
-    assert_eq!(share.take(WriteClass::Money, at(50)), ShareAnswer::Granted);
+    assert_eq!(share.take(WriteClass::Money, at(50)), TakeResult::Granted);
     assert!(matches!(
         share.take(WriteClass::Money, at(10)),
-        ShareAnswer::Wait(_)
+        TakeResult::Wait(_)
     ));
     assert!(matches!(
         share.take(WriteClass::Money, at(50)),
-        ShareAnswer::Wait(_)
+        TakeResult::Wait(_)
     ));
 }
 
@@ -122,83 +122,94 @@
         ..CircuitPolicy::default()
     };
     let mut circuit = PlatformCircuit::new(policy);
-    assert!(!circuit.failed(at(0), Jitter(0)));
-    assert_eq!(circuit.admit(at(0)), CircuitAnswer::Pass);
-    assert!(circuit.failed(at(0), Jitter(0)));
+    assert!(!circuit.record_failure(at(0), Jitter(0)));
+    assert_eq!(circuit.admit(at(0)), CircuitDecision::Pass);
+    assert!(circuit.record_failure(at(0), Jitter(0)));
     circuit
 }
 
 #[test]
 fn an_open_circuit_lets_one_probe_through_at_a_time() {
     let mut circuit = opened();
-    assert_eq!(circuit.admit(at(40)), CircuitAnswer::Open(span(60)));
-    assert_eq!(circuit.admit(at(100)), CircuitAnswer::Probe);
-    assert!(matches!(circuit.admit(at(100)), CircuitAnswer::Open(_)));
-    assert!(circuit.answered());
-    assert_eq!(circuit.admit(at(100)), CircuitAnswer::Pass);
+    assert_eq!(circuit.admit(at(40)), CircuitDecision::Open(span(60)));
+    assert_eq!(circuit.admit(at(100)), CircuitDecision::Probe);
+    assert!(matches!(circuit.admit(at(100)), CircuitDecision::Open(_)));
+    assert!(circuit.record_response());
+    assert_eq!(circuit.admit(at(100)), CircuitDecision::Pass);
 }
 
 #[test]
-fn a_failed_probe_waits_longer_and_a_vanished_one_is_given_up() {
+fn a_failed_probe_delays_the_next_and_a_probe_without_result_times_out() {
     let mut circuit = opened();
-    assert_eq!(circuit.admit(at(100)), CircuitAnswer::Probe);
-    assert!(!circuit.failed(at(100), Jitter(0)));
-    assert_eq!(circuit.admit(at(200)), CircuitAnswer::Open(span(100)));
-    assert_eq!(circuit.admit(at(300)), CircuitAnswer::Probe);
-    assert_eq!(circuit.admit(at(5_299)), CircuitAnswer::Open(span(1)));
-    assert_eq!(circuit.admit(at(5_300)), CircuitAnswer::Probe);
+    assert_eq!(circuit.admit(at(100)), CircuitDecision::Probe);
+    assert!(!circuit.record_failure(at(100), Jitter(0)));
+    assert_eq!(circuit.admit(at(200)), CircuitDecision::Open(span(100)));
+    assert_eq!(circuit.admit(at(300)), CircuitDecision::Probe);
+    assert_eq!(circuit.admit(at(5_299)), CircuitDecision::Open(span(1)));
+    assert_eq!(circuit.admit(at(5_300)), CircuitDecision::Probe);
 }
 
-fn peers(names: &[(&str, bool)]) -> Vec<CarrierPeer> {
-    let peer = |(name, is_near): &(&str, bool)| CarrierPeer {
+fn peers(names: &[(&str, bool)]) -> Vec<RelayPeer> {
+    let peer = |(name, is_local): &(&str, bool)| RelayPeer {
         instance: name.parse().unwrap(),
-        is_near: *is_near,
+        is_local: *is_local,
     };
     names.iter().map(peer).collect()
 }
 
 #[test]
-fn an_exchange_is_offered_to_a_near_peer_and_then_elsewhere() {
+fn a_request_is_offered_to_a_local_peer_and_then_to_another_zone() {
     let draws = [Jitter(0), Jitter(u16::MAX)];
-    let mut book = CarrierBook::new(BackoffPolicy::default(), CircuitPolicy::default());
+    let mut selector = RelaySelector::new(BackoffPolicy::default(), CircuitPolicy::default());
     let all = peers(&[("near-1", true), ("far-1", false), ("far-2", false)]);
-    let names = |book: &mut CarrierBook, peers: &[CarrierPeer], now| {
-        let chosen = book.choose(peers, at(now), draws);
+    let names = |selector: &mut RelaySelector, peers: &[RelayPeer], now| {
+        let chosen = selector.choose(peers, at(now), draws);
         let names: Vec<String> = chosen.iter().map(ToString::to_string).collect();
         names.join(" ")
     };
-    assert_eq!(names(&mut book, &all, 0), "near-1 far-2");
-    assert_eq!(names(&mut book, &all[..1], 0), "near-1");
-    assert_eq!(names(&mut book, &[], 0), "");
-    book.declined(&all[0].instance, at(0), Jitter(u16::MAX));
-    assert_eq!(names(&mut book, &all, 49), "far-1 far-2");
-    assert_eq!(names(&mut book, &all[..1], 49), "");
-    assert_eq!(names(&mut book, &all, 50), "near-1 far-2", "asked again");
-    book.declined(&all[0].instance, at(50), Jitter(u16::MAX));
+    assert_eq!(names(&mut selector, &all, 0), "near-1 far-2");
+    assert_eq!(names(&mut selector, &all[..1], 0), "near-1");
+    assert_eq!(names(&mut selector, &[], 0), "");
+    selector.record_decline(&all[0].instance, at(0), Jitter(u16::MAX));
+    assert_eq!(names(&mut selector, &all, 49), "far-1 far-2");
+    assert_eq!(names(&mut selector, &all[..1], 49), "");
     assert_eq!(
-        names(&mut book, &all, 149),
+        names(&mut selector, &all, 50),
+        "near-1 far-2",
+        "asked again"
+    );
+    selector.record_decline(&all[0].instance, at(50), Jitter(u16::MAX));
+    assert_eq!(
+        names(&mut selector, &all, 149),
         "far-1 far-2",
         "left alone longer"
     );
-    book.carried(&all[0].instance);
-    assert_eq!(names(&mut book, &all, 149), "near-1 far-2");
-    book.declined(&all[0].instance, at(149), Jitter(u16::MAX));
-    book.keep(&all[1..]);
-    assert_eq!(names(&mut book, &all, 149), "near-1 far-2", "a new life");
+    selector.record_success(&all[0].instance);
+    assert_eq!(names(&mut selector, &all, 149), "near-1 far-2");
+    selector.record_decline(&all[0].instance, at(149), Jitter(u16::MAX));
+    selector.retain_peers(&all[1..]);
+    assert_eq!(
+        names(&mut selector, &all, 149),
+        "near-1 far-2",
+        "a new life"
+    );
 }
 
 #[test]
-fn after_some_exchanges_that_nobody_carried_no_peer_is_asked() {
+fn no_peer_is_asked_after_repeated_failures_to_relay() {
     let draws = [Jitter(0), Jitter(0)];
     let many = peers(&[("a", true), ("b", true), ("c", false), ("d", false)]);
-    let mut book = CarrierBook::new(BackoffPolicy::default(), CircuitPolicy::default());
+    let mut selector = RelaySelector::new(BackoffPolicy::default(), CircuitPolicy::default());
     for _ in 0..5 {
-        assert_eq!(book.choose(&many, at(0), draws).len(), 2);
-        book.ended(false, at(0), Jitter(u16::MAX));
+        assert_eq!(selector.choose(&many, at(0), draws).len(), 2);
+        selector.record_outcome(false, at(0), Jitter(u16::MAX));
     }
-    assert!(book.choose(&many, at(199), draws).is_empty());
-    assert_eq!(book.choose(&many, at(200), draws).len(), 2, "one tries");
-    assert!(book.choose(&many, at(200), draws).is_empty(), "one alone");
-    book.ended(true, at(200), Jitter(0));
-    assert_eq!(book.choose(&many, at(200), draws).len(), 2);
+    assert!(selector.choose(&many, at(199), draws).is_empty());
+    assert_eq!(selector.choose(&many, at(200), draws).len(), 2, "one tries");
+    assert!(
+        selector.choose(&many, at(200), draws).is_empty(),
+        "one alone"
+    );
+    selector.record_outcome(true, at(200), Jitter(0));
+    assert_eq!(selector.choose(&many, at(200), draws).len(), 2);
 }
--- a/crates/guavawell-core/tests/platform_share/lend.rs
+++ b/crates/guavawell-core/tests/platform_share/lending.rs
@@ -4,17 +4,17 @@
 use guavawell_core::clock::ClockTime;
 use guavawell_core::platform::FleetSize;
 use guavawell_core::platform::PlatformRate;
-use guavawell_core::platform::SegmentWait;
+use guavawell_core::platform::SegmentInterval;
+use guavawell_core::platform::SizeInputs;
 use guavawell_core::platform::SizePolicy;
-use guavawell_core::platform::SizeSigns;
-use guavawell_core::platform::borrowed;
+use guavawell_core::platform::fair_share;
 
 const fn rate(milli: u64) -> PlatformRate {
     PlatformRate::from_milli(milli)
 }
 
 #[test]
-fn small_demands_are_met_whole_and_large_ones_alike() {
+fn small_demands_are_met_in_full_and_large_ones_get_equal_parts() {
     let pool = rate(100);
     let cases: [(u64, &[u64], u64); 7] = [
         (0, &[50], 0),
@@ -27,13 +27,13 @@
     ];
     for (own, others, expected) in cases {
         let others: Vec<PlatformRate> = others.iter().copied().map(rate).collect();
-        let part = borrowed(pool, rate(own), &others);
+        let part = fair_share(pool, rate(own), &others);
         assert_eq!(part, rate(expected), "{own} beside {others:?}");
     }
 }
 
 #[test]
-fn parts_sum_up_to_the_pool_at_most() {
+fn parts_never_add_up_to_more_than_the_pool() {
     let mut random = 1_u64;
     for _ in 0..2_000 {
         let demands: Vec<PlatformRate> = (0..7)
@@ -47,7 +47,7 @@
             .map(|place| {
                 let mut others = demands.clone();
                 let own = others.remove(place);
-                borrowed(pool, own, &others).as_milli()
+                fair_share(pool, own, &others).as_milli()
             })
             .sum();
         assert!(sum <= 500, "{demands:?}: {sum}");
@@ -55,30 +55,30 @@
 }
 
 #[test]
-fn a_size_grows_at_once_and_falls_slowly() {
+fn the_fleet_size_grows_at_once_and_falls_slowly() {
     let at = |seconds: u64| ClockTime::from_millis(seconds * 1_000);
-    let signs = |live, listed| SizeSigns { live, listed };
+    let signs = |live, listed| SizeInputs { live, listed };
     let mut size = FleetSize::new(SizePolicy::default(), at(0));
-    size.hear(signs(1, Some(1)), at(1));
+    size.observe(signs(1, Some(1)), at(1));
     assert_eq!(size.routers(), 16);
-    size.hear(signs(6, Some(6)), at(11));
+    size.observe(signs(6, Some(6)), at(11));
     assert_eq!(size.routers(), 6);
-    size.hear(signs(6, Some(390)), at(12));
+    size.observe(signs(6, Some(390)), at(12));
     assert_eq!(size.routers(), 390);
-    size.hear(signs(56, None), at(72));
+    size.observe(signs(56, None), at(72));
     assert!(size.routers() > 380, "{}", size.routers());
-    size.hear(signs(56, Some(56)), at(132));
+    size.observe(signs(56, Some(56)), at(132));
     assert!((300..320).contains(&size.routers()), "{}", size.routers());
 }
 
 #[test]
-fn segments_wait_longer_with_a_small_share_and_many_slots() {
-    let wait = SegmentWait {
-        least: ClockSpan::from_millis(5_000),
-        most: ClockSpan::from_millis(60_000),
+fn segments_stay_open_longer_with_a_small_share_and_many_slots() {
+    let wait = SegmentInterval {
+        min: ClockSpan::from_millis(5_000),
+        max: ClockSpan::from_millis(60_000),
     };
-    assert_eq!(wait.at(rate(8_250), 8).as_millis(), 5_000);
-    assert_eq!(wait.at(rate(125), 2).as_millis(), 16_000);
-    assert_eq!(wait.at(rate(125), 8).as_millis(), 60_000);
-    assert_eq!(wait.at(rate(0), 1).as_millis(), 60_000);
+    assert_eq!(wait.for_rate(rate(8_250), 8).as_millis(), 5_000);
+    assert_eq!(wait.for_rate(rate(125), 2).as_millis(), 16_000);
+    assert_eq!(wait.for_rate(rate(125), 8).as_millis(), 60_000);
+    assert_eq!(wait.for_rate(rate(0), 1).as_millis(), 60_000);
 }
--- a/crates/guavawell-core/tests/platform_share/main.rs
+++ b/crates/guavawell-core/tests/platform_share/main.rs
@@ -3,14 +3,14 @@
 
 #![expect(clippy::cast_possible_truncation, reason = "small numbers of a model")]
 
-mod lend;
-mod world;
+mod lending;
+mod simulation;
 
 use guavawell_core::platform::PlatformRate;
 
-use self::world::Sharing;
-use self::world::World;
-use self::world::WriteLoad;
+use self::simulation::Sharing;
+use self::simulation::Simulation;
+use self::simulation::WriteLoad;
 
 const BUDGET: u64 = 400;
 const LIMIT: u64 = 500;
@@ -30,10 +30,10 @@
     slots: 100,
 };
 
-fn fleet(routers: usize, load: WriteLoad, seed: u64) -> World {
-    let mut world = World::new(routers, ZONES, Sharing::Fleet(BUDGET), LIMIT, seed);
-    world.load_all(load);
-    world
+fn fleet(routers: usize, load: WriteLoad, seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(routers, ZONES, Sharing::Fleet(BUDGET), LIMIT, seed);
+    simulation.load_all(load);
+    simulation
 }
 
 /// `percent` of the budget.
@@ -42,156 +42,168 @@
 }
 
 #[test]
-fn shares_use_the_budget_and_keep_to_it_at_any_size() {
+fn shares_use_the_budget_without_exceeding_it_at_any_fleet_size() {
     for routers in [6, 50, 390] {
-        let mut world = fleet(routers, GREEDY, 3);
-        world.run(30);
-        world.measure_anew();
+        let mut simulation = fleet(routers, GREEDY, 3);
+        simulation.run(30);
+        simulation.reset_outcome();
         for _ in 0..20 {
-            world.run(1);
-            let sum = world.sum_of_shares();
+            simulation.run(1);
+            let sum = simulation.total_rate();
             assert!(sum <= budget(100), "{routers} routers: {sum}");
             assert!(sum >= budget(90), "{routers} routers: {sum}");
         }
-        assert_eq!(world.outcome.overloads, 0, "{routers} routers");
-        assert!(world.outcome.mean_offered() <= BUDGET * 51 / 50);
+        assert_eq!(simulation.outcome.overloads, 0, "{routers} routers");
+        assert!(simulation.outcome.mean_offered() <= BUDGET * 51 / 50);
     }
 }
 
 #[test]
-fn loads_that_come_and_go_never_lend_more_than_there_is() {
+fn changing_loads_never_raise_the_sum_of_shares_above_the_budget() {
     for seed in 0..4 {
-        let mut world = fleet(70, QUIET, seed);
-        world.run(20);
-        for turn in 0..60 {
-            let place = (turn * 31 + seed as usize * 17) % 70;
-            let is_greedy = world.routers[place].load == GREEDY;
-            world.routers[place].load = if is_greedy { QUIET } else { GREEDY };
-            world.run(2);
-            let sum = world.sum_of_shares();
-            assert!(sum <= budget(100), "seed {seed}, turn {turn}: {sum}");
+        let mut simulation = fleet(70, QUIET, seed);
+        simulation.run(20);
+        for round in 0..60 {
+            let index = (round * 31 + seed as usize * 17) % 70;
+            let is_greedy = simulation.routers[index].load == GREEDY;
+            simulation.routers[index].load = if is_greedy { QUIET } else { GREEDY };
+            simulation.run(2);
+            let sum = simulation.total_rate();
+            assert!(sum <= budget(100), "seed {seed}, round {round}: {sum}");
         }
     }
 }
 
 #[test]
-fn a_busy_router_among_idle_ones_gets_far_more_than_its_part() {
-    let mut world = fleet(390, QUIET, 5);
-    world.routers[17].load = GREEDY;
-    world.run(30);
-    let rate = world.routers[17].rate(world.now);
-    assert!(rate >= budget(100).part(20, 390), "{rate}");
-    assert!(world.sum_of_shares() <= budget(100));
-    world.routers[17].load = QUIET;
-    world.run(60);
-    let rate = world.routers[17].rate(world.now);
-    assert!(rate <= budget(100).part(5, 390), "{rate}");
+fn a_busy_router_among_idle_ones_gets_far_more_than_an_equal_share() {
+    let mut simulation = fleet(390, QUIET, 5);
+    simulation.routers[17].load = GREEDY;
+    simulation.run(30);
+    let rate = simulation.routers[17].rate(simulation.now);
+    assert!(rate >= budget(100).fraction(20, 390), "{rate}");
+    assert!(simulation.total_rate() <= budget(100));
+    simulation.routers[17].load = QUIET;
+    simulation.run(60);
+    let rate = simulation.routers[17].rate(simulation.now);
+    assert!(rate <= budget(100).fraction(5, 390), "{rate}");
 }
 
 #[test]
 fn a_burst_of_claims_at_one_router_is_written_within_seconds() {
-    let mut world = fleet(390, QUIET, 6);
-    world.run(30);
-    let now = world.now;
-    world.measure_anew();
-    world.routers[3].load = WriteLoad::default();
-    world.routers[3].claims.extend([now; 1_000]);
-    world.run(8);
-    let waiting = world.routers[3].claims.len();
+    let mut simulation = fleet(390, QUIET, 6);
+    simulation.run(30);
+    let now = simulation.now;
+    simulation.reset_outcome();
+    simulation.routers[3].load = WriteLoad::default();
+    simulation.routers[3].claims.extend([now; 1_000]);
+    simulation.run(8);
+    let waiting = simulation.routers[3].claims.len();
     assert_eq!(waiting, 0);
-    assert!(world.outcome.claim_wait(99) <= 8_000);
-    assert_eq!(world.outcome.overloads, 0);
+    assert!(simulation.outcome.claim_wait(99) <= 8_000);
+    assert_eq!(simulation.outcome.overloads, 0);
 }
 
 #[test]
-fn a_parted_zone_leaves_the_others_theirs() {
-    let mut world = fleet(105, GREEDY, 7);
-    world.run(30);
-    for router in &mut world.routers {
-        router.part = usize::from(router.zone == 0);
+fn a_partitioned_zone_does_not_take_the_shares_of_others() {
+    let mut simulation = fleet(105, GREEDY, 7);
+    simulation.run(30);
+    for router in &mut simulation.routers {
+        router.partition = usize::from(router.zone == 0);
     }
-    world.measure_anew();
+    simulation.reset_outcome();
     for _ in 0..60 {
-        world.run(5);
-        let sum = world.sum_of_shares();
+        simulation.run(5);
+        let sum = simulation.total_rate();
         assert!(sum <= budget(100), "{sum}");
     }
-    assert_eq!(world.outcome.overloads, 0);
+    assert_eq!(simulation.outcome.overloads, 0);
 }
 
 #[test]
-fn without_the_platforms_list_a_parted_zone_takes_little_more_for_minutes() {
-    let mut world = fleet(105, GREEDY, 8);
-    world.run(30);
-    world.is_listed = false;
-    for router in &mut world.routers {
-        router.part = usize::from(router.zone == 0);
+fn without_the_instance_list_a_partitioned_zone_exceeds_its_share_only_slightly() {
+    let mut simulation = fleet(105, GREEDY, 8);
+    simulation.run(30);
+    simulation.is_listed = false;
+    for router in &mut simulation.routers {
+        router.partition = usize::from(router.zone == 0);
     }
-    world.run(300);
-    let sum = world.sum_of_shares();
+    simulation.run(300);
+    let sum = simulation.total_rate();
     assert!(sum <= budget(115), "{sum}");
 }
 
 #[test]
-fn a_third_gone_is_filled_slowly_by_the_others() {
-    let mut world = fleet(105, GREEDY, 9);
-    world.run(30);
-    for router in world.routers.iter_mut().filter(|router| router.zone < 2) {
+fn shares_of_a_stopped_third_are_taken_over_slowly() {
+    let mut simulation = fleet(105, GREEDY, 9);
+    simulation.run(30);
+    for router in simulation
+        .routers
+        .iter_mut()
+        .filter(|router| router.zone < 2)
+    {
         router.is_alive = false;
     }
-    world.run(5);
-    assert!(world.sum_of_shares() <= budget(75));
-    world.measure_anew();
-    world.run(240);
-    let sum = world.sum_of_shares();
+    simulation.run(5);
+    assert!(simulation.total_rate() <= budget(75));
+    simulation.reset_outcome();
+    simulation.run(240);
+    let sum = simulation.total_rate();
     assert!(sum >= budget(90) && sum <= budget(100), "{sum}");
-    assert_eq!(world.outcome.overloads, 0);
+    assert_eq!(simulation.outcome.overloads, 0);
 }
 
 #[test]
-fn a_tenth_replaced_at_once_stays_within_what_the_platform_carries() {
-    let mut world = fleet(390, GREEDY, 10);
-    world.run(20);
-    world.measure_anew();
-    for place in (0..390).step_by(10) {
-        let zone = world.routers[place].zone;
-        world.routers[place] = world.fresh(zone, GREEDY);
+fn replacing_a_tenth_of_the_routers_hardly_overloads_the_platform() {
+    let mut simulation = fleet(390, GREEDY, 10);
+    simulation.run(20);
+    simulation.reset_outcome();
+    for index in (0..390).step_by(10) {
+        let zone = simulation.routers[index].zone;
+        simulation.routers[index] = simulation.new_router(zone, GREEDY);
     }
-    world.run(30);
+    simulation.run(30);
     // For seconds the fresh ones know neither the others nor the list.
-    let beyond = world.outcome.overloads;
-    assert!(beyond <= 2 * LIMIT, "{beyond} writes turned away");
-    assert!(world.sum_of_shares() <= budget(100));
+    let overloads = simulation.outcome.overloads;
+    assert!(overloads <= 2 * LIMIT, "{overloads} writes turned away");
+    assert!(simulation.total_rate() <= budget(100));
 }
 
 #[test]
-fn an_overloaded_platform_is_given_way_to_and_taken_up_again() {
-    let mut world = fleet(105, GREEDY, 11);
-    world.run(30);
-    world.limit = 100;
-    world.run(30);
-    world.measure_anew();
-    world.run(30);
-    let mean = world.outcome.mean_offered();
+fn routers_slow_down_for_an_overloaded_platform_and_recover() {
+    let mut simulation = fleet(105, GREEDY, 11);
+    simulation.run(30);
+    simulation.limit = 100;
+    simulation.run(30);
+    simulation.reset_outcome();
+    simulation.run(30);
+    let mean = simulation.outcome.mean_offered();
     assert!((60..=160).contains(&mean), "{mean}");
-    world.limit = LIMIT;
-    world.run(30);
-    assert!(world.sum_of_shares() >= budget(90));
+    simulation.limit = LIMIT;
+    simulation.run(30);
+    assert!(simulation.total_rate() >= budget(90));
 }
 
 #[test]
-fn the_end_of_an_outage_is_no_stampede() {
-    let mut world = fleet(390, QUIET, 12);
-    world.run(30);
-    world.is_out = true;
-    world.run(60);
-    let waiting: usize = world.routers.iter().map(|router| router.claims.len()).sum();
+fn the_end_of_an_outage_causes_no_thundering_herd() {
+    let mut simulation = fleet(390, QUIET, 12);
+    simulation.run(30);
+    simulation.is_unavailable = true;
+    simulation.run(60);
+    let waiting: usize = simulation
+        .routers
+        .iter()
+        .map(|router| router.claims.len())
+        .sum();
     assert!(waiting > 2_000, "{waiting}");
-    world.is_out = false;
-    world.measure_anew();
-    world.run(40);
-    assert!(world.outcome.most_offered() <= BUDGET);
-    assert_eq!(world.outcome.overloads, 0);
-    let waiting: usize = world.routers.iter().map(|router| router.claims.len()).sum();
+    simulation.is_unavailable = false;
+    simulation.reset_outcome();
+    simulation.run(40);
+    assert!(simulation.outcome.max_offered() <= BUDGET);
+    assert_eq!(simulation.outcome.overloads, 0);
+    let waiting: usize = simulation
+        .routers
+        .iter()
+        .map(|router| router.claims.len())
+        .sum();
     assert!(waiting < 100, "{waiting}");
 }
--- a/crates/guavawell-core/tests/platform_share/world.rs
+++ b/crates/guavawell-core/tests/platform_share/simulation.rs
@@ -10,13 +10,13 @@
 use guavawell_core::platform::FleetSize;
 use guavawell_core::platform::PlatformRate;
 use guavawell_core::platform::PlatformShare;
-use guavawell_core::platform::SegmentWait;
-use guavawell_core::platform::ShareAnswer;
+use guavawell_core::platform::SegmentInterval;
+use guavawell_core::platform::ShareInputs;
 use guavawell_core::platform::SharePolicy;
-use guavawell_core::platform::ShareSigns;
 use guavawell_core::platform::SharingPolicy;
+use guavawell_core::platform::SizeInputs;
 use guavawell_core::platform::SizePolicy;
-use guavawell_core::platform::SizeSigns;
+use guavawell_core::platform::TakeResult;
 use guavawell_core::platform::WriteClass;
 
 pub const STEP_MS: u64 = 10;
@@ -24,16 +24,16 @@
 /// Claims that one transaction takes.
 const BATCH: usize = 64;
 /// Longest way of a note through a zone.
-const NOTE_MS: u64 = 1_500;
+const MAX_MESSAGE_DELAY_MS: u64 = 1_500;
 /// Age of the platform's list.
 const LIST_LAG_MS: u64 = 10_000;
 /// Age of what gossip knows of who is alive.
 const GOSSIP_LAG_MS: u64 = 4_000;
 
 /// The settings' defaults.
-const SEGMENT_WAIT: SegmentWait = SegmentWait {
-    least: ClockSpan::from_millis(5_000),
-    most: ClockSpan::from_millis(30_000),
+const SEGMENT_WAIT: SegmentInterval = SegmentInterval {
+    min: ClockSpan::from_millis(5_000),
+    max: ClockSpan::from_millis(30_000),
 };
 
 /// How a router comes to its share.
@@ -70,7 +70,7 @@
 }
 
 impl Outcome {
-    pub fn most_offered(&self) -> u64 {
+    pub fn max_offered(&self) -> u64 {
         self.offered.iter().copied().max().unwrap_or(0)
     }
 
@@ -83,15 +83,15 @@
     pub fn claim_wait(&self, percent: usize) -> u64 {
         let mut waits = self.claim_waits.clone();
         waits.sort_unstable();
-        let place = waits.len().saturating_sub(1) * percent / 100;
-        waits.get(place).copied().unwrap_or(0)
+        let index = waits.len().saturating_sub(1) * percent / 100;
+        waits.get(index).copied().unwrap_or(0)
     }
 }
 
 pub struct Router {
     pub zone: usize,
     /// Only routers of one part hear each other.
-    pub part: usize,
+    pub partition: usize,
     pub is_alive: bool,
     pub load: WriteLoad,
     pub claims: Vec<ClockTime>,
@@ -103,10 +103,10 @@
     reports: u64,
     report_milli: u64,
     segments: u64,
-    heard: Vec<(usize, ClockTime, PlatformRate)>,
-    held_until: ClockTime,
+    known_demands: Vec<(usize, ClockTime, PlatformRate)>,
+    blocked_until: ClockTime,
     failures: u32,
-    is_cut: bool,
+    was_unavailable: bool,
 }
 
 impl Router {
@@ -116,52 +116,52 @@
 }
 
 /// When it arrives, at whom, from whom, when it was sent, and the demand.
-type DemandNote = (ClockTime, usize, usize, ClockTime, PlatformRate);
+type DemandMessage = (ClockTime, usize, usize, ClockTime, PlatformRate);
 
-pub struct World {
+pub struct Simulation {
     pub now: ClockTime,
     pub routers: Vec<Router>,
     pub outcome: Outcome,
     /// Demands announced.
     pub announces: u64,
-    pub is_out: bool,
+    pub is_unavailable: bool,
     /// Whether the platform's list can be read.
     pub is_listed: bool,
     /// Writes a second that the platform carries.
     pub limit: u64,
     sharing: Sharing,
     used: u64,
-    notes: BinaryHeap<Reverse<DemandNote>>,
+    messages: BinaryHeap<Reverse<DemandMessage>>,
     /// Numbers of live routers by part and in all, of each second.
     census: Vec<Vec<u32>>,
     random: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(routers: usize, zones: usize, sharing: Sharing, limit: u64, seed: u64) -> Self {
         let mut world = Self {
             now: ClockTime::from_millis(1),
             routers: Vec::new(),
             outcome: Outcome::default(),
             announces: 0,
-            is_out: false,
+            is_unavailable: false,
             is_listed: true,
             limit,
             sharing,
             used: 0,
-            notes: BinaryHeap::new(),
+            messages: BinaryHeap::new(),
             census: Vec::new(),
             random: seed.wrapping_mul(2).wrapping_add(0x9e37_79b9_7f4a_7c15),
         };
-        for place in 0..routers {
-            let router = world.fresh(place % zones, WriteLoad::default());
+        for index in 0..routers {
+            let router = world.new_router(index % zones, WriteLoad::default());
             world.routers.push(router);
         }
         world
     }
 
     /// A router that was just started.
-    pub fn fresh(&self, zone: usize, load: WriteLoad) -> Router {
+    pub fn new_router(&self, zone: usize, load: WriteLoad) -> Router {
         let budget = match self.sharing {
             Sharing::Fixed(rate) | Sharing::Fleet(rate) => PlatformRate::per_second(rate),
         };
@@ -172,11 +172,11 @@
                 rate: budget,
                 burst: u32::try_from(2 * rate).unwrap(),
             },
-            Sharing::Fleet(_) => fleet.paced(size.part(budget, 1)),
+            Sharing::Fleet(_) => fleet.with_burst(size.share_of(budget, 1)),
         };
         Router {
             zone,
-            part: 0,
+            partition: 0,
             is_alive: true,
             load,
             claims: Vec::new(),
@@ -188,10 +188,10 @@
             reports: 0,
             report_milli: 0,
             segments: 0,
-            heard: Vec::new(),
-            held_until: ClockTime::default(),
+            known_demands: Vec::new(),
+            blocked_until: ClockTime::default(),
             failures: 0,
-            is_cut: false,
+            was_unavailable: false,
         }
     }
 
@@ -209,15 +209,15 @@
     }
 
     /// Forgets what was measured so far.
-    pub fn measure_anew(&mut self) {
+    pub fn reset_outcome(&mut self) {
         self.outcome = Outcome::default();
     }
 
     /// The sum of the shares of all live routers.
-    pub fn sum_of_shares(&self) -> PlatformRate {
+    pub fn total_rate(&self) -> PlatformRate {
         let live = self.routers.iter().filter(|router| router.is_alive);
         live.fold(PlatformRate::ZERO, |sum, router| {
-            sum.plus(router.rate(self.now))
+            sum.saturating_add(router.rate(self.now))
         })
     }
 
@@ -227,44 +227,44 @@
             self.outcome.offered.push(0);
             self.count_routers();
         }
-        self.deliver_notes();
-        for place in 0..self.routers.len() {
-            if self.routers[place].is_alive {
-                self.arrive(place);
-                self.review(place);
-                self.write(place);
+        self.deliver_messages();
+        for index in 0..self.routers.len() {
+            if self.routers[index].is_alive {
+                self.arrive(index);
+                self.update_share(index);
+                self.write(index);
             }
         }
         self.now = self.now + ClockSpan::from_millis(STEP_MS);
     }
 
     fn count_routers(&mut self) {
-        let parts = self.routers.iter().map(|router| router.part).max();
-        let mut census = vec![0; parts.unwrap_or(0) + 2];
+        let partitions = self.routers.iter().map(|router| router.partition).max();
+        let mut census = vec![0; partitions.unwrap_or(0) + 2];
         for router in self.routers.iter().filter(|router| router.is_alive) {
-            census[router.part + 1] += 1;
+            census[router.partition + 1] += 1;
             census[0] += 1;
         }
         self.census.push(census);
     }
 
-    /// The count of `part`, or of all at 0, as it was `lag` ago.
-    fn counted(&self, part: usize, lag: u64) -> u32 {
-        let place = self
+    /// The count of `partition`, or of all at 0, as it was `lag` ago.
+    fn counted(&self, partition: usize, lag: u64) -> u32 {
+        let index = self
             .census
             .len()
             .saturating_sub(1 + (lag / SECOND_MS) as usize);
-        let census = &self.census[place];
-        census.get(part).copied().unwrap_or(0)
+        let census = &self.census[index];
+        census.get(partition).copied().unwrap_or(0)
     }
 
-    fn arrive(&mut self, place: usize) {
-        let load = self.routers[place].load;
+    fn arrive(&mut self, index: usize) {
+        let load = self.routers[index].load;
         let claims = self.draw(load.claims);
         let (money, reports) = (self.draw(load.money), self.draw(load.reports));
-        let segments = self.draw(self.segments(place));
+        let segments = self.draw(self.segments(index));
         let now = self.now;
-        let router = &mut self.routers[place];
+        let router = &mut self.routers[index];
         router
             .claims
             .extend(std::iter::repeat_n(now, claims as usize));
@@ -273,20 +273,20 @@
         router.segments += segments;
         if let Sharing::Fleet(_) = self.sharing {
             // What a report may take grows by the step, up to one report.
-            let spare = router.share.spare(now).as_milli() * STEP_MS;
+            let spare = router.share.background_rate(now).as_milli() * STEP_MS;
             router.report_milli = (router.report_milli + spare).min(1_000_000);
         }
     }
 
     /// Segments that are due, in thousandths a second.
-    fn segments(&self, place: usize) -> u64 {
-        let router = &self.routers[place];
+    fn segments(&self, index: usize) -> u64 {
+        let router = &self.routers[index];
         let slots = router.load.slots;
         let wait = match self.sharing {
-            Sharing::Fixed(_) => SEGMENT_WAIT.least,
+            Sharing::Fixed(_) => SEGMENT_WAIT.min,
             Sharing::Fleet(_) => {
                 let whole = slots.div_ceil(1_000) as usize;
-                SEGMENT_WAIT.at(router.share.spare(self.now), whole)
+                SEGMENT_WAIT.for_rate(router.share.background_rate(self.now), whole)
             }
         };
         slots * SECOND_MS / wait.as_millis()
@@ -307,119 +307,125 @@
     }
 
     /// Reckons the share anew, once a second and router.
-    fn review(&mut self, place: usize) {
+    fn update_share(&mut self, index: usize) {
         let Sharing::Fleet(_) = self.sharing else {
             return;
         };
-        let turn = (place as u64 * 7 * STEP_MS) % SECOND_MS;
-        if self.now.as_millis() / STEP_MS * STEP_MS % SECOND_MS != turn {
+        let update_phase = (index as u64 * 7 * STEP_MS) % SECOND_MS;
+        if self.now.as_millis() / STEP_MS * STEP_MS % SECOND_MS != update_phase {
             return;
         }
         let now = self.now;
-        let (zone, part) = (self.routers[place].zone, self.routers[place].part);
+        let (zone, partition) = (self.routers[index].zone, self.routers[index].partition);
         let all = self.counted(0, LIST_LAG_MS);
-        let live = self.counted(part + 1, GOSSIP_LAG_MS);
-        let beside = |other: &&Router| other.is_alive && other.zone == zone && other.part == part;
-        let zone_live = self.routers.iter().filter(beside).count();
-        let is_listed = self.is_listed && !self.is_out;
-        let router = &mut self.routers[place];
+        let live = self.counted(partition + 1, GOSSIP_LAG_MS);
+        let is_zone_peer =
+            |other: &&Router| other.is_alive && other.zone == zone && other.partition == partition;
+        let zone_live = self.routers.iter().filter(is_zone_peer).count();
+        let is_listed = self.is_listed && !self.is_unavailable;
+        let router = &mut self.routers[index];
         let listed = (is_listed && now.as_millis() > LIST_LAG_MS).then_some(all);
-        router.size.hear(SizeSigns { live, listed }, now);
-        let others: Vec<PlatformRate> = router.heard.iter().map(|heard| heard.2).collect();
-        let signs = ShareSigns {
+        router.size.observe(SizeInputs { live, listed }, now);
+        let others: Vec<PlatformRate> = router
+            .known_demands
+            .iter()
+            .map(|known_demands| known_demands.2)
+            .collect();
+        let inputs = ShareInputs {
             size: router.size,
             zone_live: u32::try_from(zone_live).unwrap(),
             others: &others,
             demand: router.share.demand(now),
         };
-        let decision = router.fleet.review(&signs, now);
+        let decision = router.fleet.update(&inputs, now);
         router.share.set_policy(decision.policy, now);
         if let Some(demand) = decision.announce {
             self.announces += 1;
-            self.announce(place, demand);
+            self.announce(index, demand);
         }
     }
 
     fn announce(&mut self, from: usize, demand: PlatformRate) {
-        let (zone, part) = (self.routers[from].zone, self.routers[from].part);
+        let (zone, partition) = (self.routers[from].zone, self.routers[from].partition);
         for to in 0..self.routers.len() {
             let other = &self.routers[to];
-            if to != from && other.zone == zone && other.part == part {
-                let way = ClockSpan::from_millis(100 + self.random() % (NOTE_MS - 100));
-                let note = (self.now + way, to, from, self.now, demand);
-                self.notes.push(Reverse(note));
+            if to != from && other.zone == zone && other.partition == partition {
+                let delay =
+                    ClockSpan::from_millis(100 + self.random() % (MAX_MESSAGE_DELAY_MS - 100));
+                let message = (self.now + delay, to, from, self.now, demand);
+                self.messages.push(Reverse(message));
             }
         }
     }
 
-    fn deliver_notes(&mut self) {
-        while let Some(Reverse(note)) = self.notes.peek().copied() {
-            let (due, to, from, at, demand) = note;
+    fn deliver_messages(&mut self) {
+        while let Some(Reverse(message)) = self.messages.peek().copied() {
+            let (due, to, from, at, demand) = message;
             if due > self.now {
                 return;
             }
-            self.notes.pop();
-            let heard = &mut self.routers[to].heard;
-            match heard.iter_mut().find(|known| known.0 == from) {
+            self.messages.pop();
+            let known_demands = &mut self.routers[to].known_demands;
+            match known_demands.iter_mut().find(|known| known.0 == from) {
                 Some(known) if known.1 < at => *known = (from, at, demand),
                 Some(_) => {}
-                None => heard.push((from, at, demand)),
+                None => known_demands.push((from, at, demand)),
             }
         }
     }
 
     /// Sends what the share allows, the urgent first.
-    fn write(&mut self, place: usize) {
-        if self.is_out {
+    fn write(&mut self, index: usize) {
+        if self.is_unavailable {
             let spread = ClockSpan::from_millis(750 + self.random() % 750);
-            let router = &mut self.routers[place];
-            if !router.is_cut || router.held_until <= self.now {
-                router.is_cut = true;
-                router.held_until = self.now + spread;
+            let router = &mut self.routers[index];
+            if !router.was_unavailable || router.blocked_until <= self.now {
+                router.was_unavailable = true;
+                router.blocked_until = self.now + spread;
             }
             return;
         }
-        if self.routers[place].held_until > self.now {
+        if self.routers[index].blocked_until > self.now {
             return;
         }
-        if std::mem::take(&mut self.routers[place].is_cut)
+        if std::mem::take(&mut self.routers[index].was_unavailable)
             && matches!(self.sharing, Sharing::Fleet(_))
         {
-            self.routers[place].share.resumed(self.now);
+            self.routers[index].share.resumed(self.now);
         }
-        while self.routers[place].money > 0 && self.send(place, WriteClass::Money) {
-            self.routers[place].money -= 1;
+        while self.routers[index].money > 0 && self.send(index, WriteClass::Money) {
+            self.routers[index].money -= 1;
         }
-        while self.may_report(place) && self.send(place, WriteClass::Money) {
-            let router = &mut self.routers[place];
+        while self.may_report(index) && self.send(index, WriteClass::Money) {
+            let router = &mut self.routers[index];
             router.reports -= 1;
             router.report_milli = 0;
         }
-        while !self.routers[place].claims.is_empty() && self.send(place, WriteClass::Claim) {
-            let router = &mut self.routers[place];
-            let most = router.claims.len().min(BATCH);
-            for claimed in router.claims.drain(..most) {
+        while !self.routers[index].claims.is_empty() && self.send(index, WriteClass::Claim) {
+            let router = &mut self.routers[index];
+            let batch = router.claims.len().min(BATCH);
+            for claimed in router.claims.drain(..batch) {
                 let wait = self.now.since(claimed).as_millis();
                 self.outcome.claim_waits.push(wait);
             }
         }
-        while self.routers[place].segments > 0 && self.send(place, WriteClass::Journal) {
-            self.routers[place].segments -= 1;
+        while self.routers[index].segments > 0 && self.send(index, WriteClass::Journal) {
+            self.routers[index].segments -= 1;
         }
     }
 
     /// With a fixed share reports go as they come; else no oftener than the
     /// spare part of the share allows.
-    fn may_report(&self, place: usize) -> bool {
-        let router = &self.routers[place];
+    fn may_report(&self, index: usize) -> bool {
+        let router = &self.routers[index];
         let is_paced = matches!(self.sharing, Sharing::Fleet(_));
         router.reports > 0 && (!is_paced || router.report_milli >= 1_000_000)
     }
 
-    fn send(&mut self, place: usize, class: WriteClass) -> bool {
+    fn send(&mut self, index: usize, class: WriteClass) -> bool {
         let now = self.now;
-        let router = &mut self.routers[place];
-        if router.held_until > now || router.share.take(class, now) != ShareAnswer::Granted {
+        let router = &mut self.routers[index];
+        if router.blocked_until > now || router.share.take(class, now) != TakeResult::Granted {
             return false;
         }
         router.granted += 1;
@@ -436,7 +442,7 @@
         }
         // The drivers' own waits: 50 ms, doubled up to 5 s.
         let wait = (50_u64 << router.failures.min(7)).min(5_000);
-        router.held_until = now + ClockSpan::from_millis(wait);
+        router.blocked_until = now + ClockSpan::from_millis(wait);
         false
     }
 }
--- a/crates/guavawell-demo/benches/capacity/money.rs
+++ b/crates/guavawell-demo/benches/capacity/money.rs
@@ -4,7 +4,7 @@
 use guavawell_core::budget::HolderSettings;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::platform::PlatformRate;
-use guavawell_core::platform::spare_rate;
+use guavawell_core::platform::background_rate;
 
 use crate::rig::SlotRig;
 
@@ -71,9 +71,9 @@
 /// What the simulated budgets have of the fleet's reports: they are so many
 /// of those of one of the slots.
 fn paced_reports() -> PlatformRate {
-    let all = spare_rate(PlatformRate::per_second(BUDGET));
-    let slot = all.part(1, SLOTS);
-    slot.part(BUDGETS as u64, FULL_SLOT as u64)
+    let all = background_rate(PlatformRate::per_second(BUDGET));
+    let slot = all.fraction(1, SLOTS);
+    slot.fraction(BUDGETS as u64, FULL_SLOT as u64)
 }
 
 fn refills(rate: &UseRate, report_after: ClockSpan, pace: Option<PlatformRate>) {
--- a/crates/guavawell-demo/tests/share.rs
+++ b/crates/guavawell-demo/tests/share.rs
@@ -66,7 +66,7 @@
             let shares = shares(&test);
             let sum = shares
                 .iter()
-                .fold(PlatformRate::ZERO, |sum, one| sum.plus(*one));
+                .fold(PlatformRate::ZERO, |sum, one| sum.saturating_add(*one));
             assert!(sum <= PlatformRate::per_second(BUDGET), "{shares:?}");
             if shares.iter().all(|share| *share >= floor) {
                 break;
--- a/crates/guavawell-fleet/src/platform/circuit.rs
+++ b/crates/guavawell-fleet/src/platform/circuit.rs
@@ -4,7 +4,7 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use guavawell_core::platform::CircuitAnswer;
+use guavawell_core::platform::CircuitDecision;
 use guavawell_core::platform::CircuitPolicy;
 use guavawell_core::platform::Jitter;
 use guavawell_core::platform::PlatformCircuit;
@@ -30,8 +30,8 @@
     /// Whether an exchange may start.
     pub fn pass(&self) -> Result<(), PlatformError> {
         match self.lock().admit(now()) {
-            CircuitAnswer::Pass | CircuitAnswer::Probe => Ok(()),
-            CircuitAnswer::Open(wait) => Err(PlatformError::Outage(
+            CircuitDecision::Pass | CircuitDecision::Probe => Ok(()),
+            CircuitDecision::Open(wait) => Err(PlatformError::Outage(
                 format!("held back; the next probe is due in {wait}").into(),
             )),
         }
@@ -41,9 +41,9 @@
     pub fn report(&self, answered: bool) -> bool {
         let mut circuit = self.lock();
         let changed = if answered {
-            circuit.answered()
+            circuit.record_response()
         } else {
-            circuit.failed(now(), Jitter(fastrand::u16(..)))
+            circuit.record_failure(now(), Jitter(fastrand::u16(..)))
         };
         let open = circuit.is_open();
         drop(circuit);
--- a/crates/guavawell-fleet/src/platform/gate.rs
+++ b/crates/guavawell-fleet/src/platform/gate.rs
@@ -9,9 +9,9 @@
 use guavawell_core::platform::PlatformRate;
 use guavawell_core::platform::PlatformShare;
 use guavawell_core::platform::ReadClass;
-use guavawell_core::platform::ShareAnswer;
 use guavawell_core::platform::SharePolicy;
 use guavawell_core::platform::ShareUrgency;
+use guavawell_core::platform::TakeResult;
 use guavawell_core::platform::WriteClass;
 use smol::Timer;
 
@@ -56,7 +56,7 @@
         let start = now();
         loop {
             let answer = self.lock().take(urgency, now());
-            let ShareAnswer::Wait(wait) = answer else {
+            let TakeResult::Wait(wait) = answer else {
                 return Ok(());
             };
             let waited = now().since(start).as_millis();
@@ -72,8 +72,8 @@
         let mut share = self.lock();
         ShareReading {
             rate: share.rate(now),
-            spare: share.spare(now),
-            part: share.part(now),
+            spare: share.background_rate(now),
+            part: share.throttle_permille(now),
             demand: share.demand(now),
         }
     }
--- a/crates/guavawell-fleet/src/platform/relay.rs
+++ b/crates/guavawell-fleet/src/platform/relay.rs
@@ -12,10 +12,10 @@
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::id::InstanceId;
 use guavawell_core::platform::BackoffPolicy;
-use guavawell_core::platform::CarrierBook;
-use guavawell_core::platform::CarrierPeer;
 use guavawell_core::platform::CircuitPolicy;
 use guavawell_core::platform::Jitter;
+use guavawell_core::platform::RelayPeer;
+use guavawell_core::platform::RelaySelector;
 
 use super::carried::CarriedAnswer;
 use super::carried::CarriedAsk;
@@ -43,7 +43,7 @@
 /// The way to peers.
 pub struct CarrierLink {
     /// Peers that take calls.
-    pub peers: Box<dyn Fn() -> Vec<CarrierPeer> + Send + Sync>,
+    pub peers: Box<dyn Fn() -> Vec<RelayPeer> + Send + Sync>,
     /// Hands an exchange to one.
     pub call: CarrierCall,
     /// Largest body handed over, in bytes.
@@ -65,7 +65,7 @@
 pub(super) struct PlatformRelay {
     service: CarriedService,
     link: Arc<CarrierLink>,
-    book: Arc<Mutex<CarrierBook>>,
+    book: Arc<Mutex<RelaySelector>>,
     works: Arc<AtomicBool>,
 }
 
@@ -83,7 +83,7 @@
         Self {
             service,
             link,
-            book: Arc::new(Mutex::new(CarrierBook::new(
+            book: Arc::new(Mutex::new(RelaySelector::new(
                 DECLINED,
                 CircuitPolicy::default(),
             ))),
@@ -119,7 +119,7 @@
         self.works.store(works, Ordering::Relaxed);
         if !peers.is_empty() {
             let jitter = Jitter(fastrand::u16(..));
-            self.book().ended(works, now(), jitter);
+            self.book().record_outcome(works, now(), jitter);
         }
         result
     }
@@ -135,11 +135,11 @@
         self.count(kind, outcome);
         match answer {
             CarriedAnswer::Answered { .. } | CarriedAnswer::Refused(_) => {
-                self.book().carried(peer);
+                self.book().record_success(peer);
             }
             CarriedAnswer::Lost(_) | CarriedAnswer::Declined(_) => {
                 let jitter = Jitter(fastrand::u16(..));
-                self.book().declined(peer, now(), jitter);
+                self.book().record_decline(peer, now(), jitter);
             }
         }
         match answer {
@@ -157,7 +157,7 @@
         let peers = (self.link.peers)();
         let draws = [Jitter(fastrand::u16(..)), Jitter(fastrand::u16(..))];
         let mut book = self.book();
-        book.keep(&peers);
+        book.retain_peers(&peers);
         book.choose(&peers, now(), draws)
     }
 
@@ -167,7 +167,7 @@
         .increment(1);
     }
 
-    fn book(&self) -> MutexGuard<'_, CarrierBook> {
+    fn book(&self) -> MutexGuard<'_, RelaySelector> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/guavawell-fleet/src/router/carry.rs
+++ b/crates/guavawell-fleet/src/router/carry.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use guavawell_core::platform::CarrierPeer;
+use guavawell_core::platform::RelayPeer;
 use smol::Timer;
 
 use super::platform::PlatformClients;
@@ -169,15 +169,15 @@
     }))
 }
 
-fn carriers(gossip: &GossipDriver) -> Vec<CarrierPeer> {
+fn carriers(gossip: &GossipDriver) -> Vec<RelayPeer> {
     let members = gossip.view();
     let own = members.own();
     let others = members
         .routable()
         .filter(|member| member.instance != own.instance);
-    let carriers = others.map(|member| CarrierPeer {
+    let carriers = others.map(|member| RelayPeer {
         instance: member.instance.clone(),
-        is_near: member.zone == own.zone,
+        is_local: member.zone == own.zone,
     });
     carriers.collect()
 }
--- a/crates/guavawell-fleet/src/router/share.rs
+++ b/crates/guavawell-fleet/src/router/share.rs
@@ -13,13 +13,13 @@
 use guavawell_core::platform::FleetShare;
 use guavawell_core::platform::FleetSize;
 use guavawell_core::platform::PlatformRate;
-use guavawell_core::platform::SegmentWait;
+use guavawell_core::platform::SegmentInterval;
 use guavawell_core::platform::ShareDecision;
+use guavawell_core::platform::ShareInputs;
 use guavawell_core::platform::SharePolicy;
-use guavawell_core::platform::ShareSigns;
 use guavawell_core::platform::SharingPolicy;
+use guavawell_core::platform::SizeInputs;
 use guavawell_core::platform::SizePolicy;
-use guavawell_core::platform::SizeSigns;
 use smol::Timer;
 
 use super::core::RouterCore;
@@ -87,17 +87,17 @@
 }
 
 /// How long segments of the journal stay open.
-pub const fn segment_wait(platform: &PlatformSettings) -> SegmentWait {
-    SegmentWait {
-        least: platform.segment_wait_ms,
-        most: platform.segment_most_wait_ms,
+pub const fn segment_wait(platform: &PlatformSettings) -> SegmentInterval {
+    SegmentInterval {
+        min: platform.segment_wait_ms,
+        max: platform.segment_most_wait_ms,
     }
 }
 
 fn first_share(budget: PlatformRate) -> SharePolicy {
     let now = clock::now();
     let size = FleetSize::new(SizePolicy::default(), now);
-    FleetShare::new(SharingPolicy::default(), budget, now).paced(size.part(budget, 1))
+    FleetShare::new(SharingPolicy::default(), budget, now).with_burst(size.share_of(budget, 1))
 }
 
 /// Reckons the shares as long as it runs.
@@ -131,26 +131,26 @@
         let now = clock::now();
         let members = gossip.view();
         let shares = &core.shares;
-        let signs = SizeSigns {
+        let signs = SizeInputs {
             live: live_routers(&members),
             listed: shares.listed(now),
         };
-        self.size.hear(signs, now);
+        self.size.observe(signs, now);
         let zone = &core.settings.instance.zone;
         let zone_live = members.routable_in(zone).count();
         let zone_live = u32::try_from(zone_live).unwrap_or(u32::MAX);
         let heard = heard_demands(&members);
         let writes: Vec<PlatformRate> = heard.iter().map(|note| note.writes).collect();
         let reads: Vec<PlatformRate> = heard.iter().map(|note| note.reads).collect();
-        let signs = |others, reading: &ShareReading| ShareSigns {
+        let signs = |others, reading: &ShareReading| ShareInputs {
             size: self.size,
             zone_live,
             others,
             demand: reading.demand,
         };
         let (written, read) = (shares.writes.read(), shares.reads.read());
-        let write = self.writes.review(&signs(&writes, &written), now);
-        let read_on = self.reads.review(&signs(&reads, &read), now);
+        let write = self.writes.update(&signs(&writes, &written), now);
+        let read_on = self.reads.update(&signs(&reads, &read), now);
         shares.writes.set_policy(write.policy);
         shares.reads.set_policy(read_on.policy);
         self.announce([write, read_on], &members, gossip);
@@ -185,7 +185,7 @@
 /// Segments and reports of settled use take what the share can spare.
 fn pace_spare_work(core: &RouterCore, writes: &ShareReading) {
     let held = core.slots.held().len();
-    let wait = segment_wait(&core.settings.platform).at(writes.spare, held);
+    let wait = segment_wait(&core.settings.platform).for_rate(writes.spare, held);
     core.journal.set_longest_wait(wait);
     core.slots.pace_reports(writes.spare);
     let millis = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
--- a/crates/guavawell-fleet/src/router/tests.rs
+++ b/crates/guavawell-fleet/src/router/tests.rs
@@ -107,7 +107,7 @@
     assert_eq!(settings::retries(&defaults), RetrySettings::default());
     assert_eq!(settings::admission(&defaults), AdmissionSettings::default());
     assert_eq!(
-        segment_wait(&defaults.platform).least,
+        segment_wait(&defaults.platform).min,
         JournalPolicy::default().longest_wait
     );
 }
--- a/crates/guavawell-fleet/src/slot/maintain.rs
+++ b/crates/guavawell-fleet/src/slot/maintain.rs
@@ -212,7 +212,7 @@
         let now = clock::now();
         let seats = self.seats();
         let held: Vec<_> = seats.iter().filter(|seat| seat.is_held()).collect();
-        let rate = rate.part(1, held.len() as u64);
+        let rate = rate.fraction(1, held.len() as u64);
         for seat in held {
             if let Some(holder) = &mut seat.lock().holder {
                 holder.pace_reports(Some(rate), now);
--- a/crates/guavawell-fleet/tests/relay.rs
+++ b/crates/guavawell-fleet/tests/relay.rs
@@ -10,9 +10,9 @@
 use futures::FutureExt;
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::platform::BackoffPolicy;
-use guavawell_core::platform::CarrierPeer;
 use guavawell_core::platform::CircuitPolicy;
 use guavawell_core::platform::PlatformRate;
+use guavawell_core::platform::RelayPeer;
 use guavawell_core::platform::SharePolicy;
 use guavawell_core::platform::WriteClass;
 use guavawell_fleet::platform::CarriedAnswer;
@@ -39,9 +39,9 @@
 ) -> (Arc<CarrierLink>, AskLog) {
     let log = AskLog::default();
     let asked = Arc::clone(&log);
-    let peer = |name: &str, is_near| CarrierPeer {
+    let peer = |name: &str, is_local| RelayPeer {
         instance: name.parse().unwrap(),
-        is_near,
+        is_local,
     };
     let peers = vec![peer("far", false), peer("near", true)];
     let link = CarrierLink {
