--- a/crates/guavawell-core/src/finding/list.rs
+++ b/crates/guavawell-core/src/finding/list.rs
@@ -1,4 +1,4 @@
-//! The findings of one file, together.
+//! The list of findings of one file.
 
 use std::fmt;
 
@@ -9,18 +9,19 @@
 use super::FindingProblem;
 use super::nearest_word;
 
-/// One problem at one place.
+/// One problem at one place in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Where.
+    /// Where it was found.
     pub place: FindingPlace,
-    /// What.
+    /// What is wrong.
     #[serde(serialize_with = "as_text")]
     pub problem: FindingProblem,
 }
 
 impl Finding {
-    /// A finding at `place`: what is wrong and a way out, in one sentence.
+    /// A finding at `place`. The reason says in one sentence what is wrong and
+    /// how to correct it.
     #[must_use]
     pub fn new(place: FindingPlace, reason: impl Into<Box<str>>) -> Self {
         let reason = reason.into();
@@ -28,7 +29,8 @@
         Self { place, problem }
     }
 
-    /// An unknown key, with the nearest of the `known` ones if one is near.
+    /// A finding about an unknown key. It suggests the most similar of the
+    /// `known` keys if one is similar enough.
     #[must_use]
     pub fn unknown_key(place: FindingPlace, known: &[&str]) -> Self {
         let name = place.key.rsplit('.').next().unwrap_or_default();
@@ -59,7 +61,7 @@
         self.0.push(finding);
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -84,10 +86,10 @@
         self
     }
 
-    /// The value, or all findings in the order of their places if there are any.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
-    /// Returns the findings unless the list is empty.
+    /// Returns the findings sorted by place if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             return Ok(value);
--- a/crates/guavawell-core/src/finding/mod.rs
+++ b/crates/guavawell-core/src/finding/mod.rs
@@ -1,10 +1,9 @@
-//! Findings about an operator's file, collected with their place and reported
-//! together.
+//! Problems found in an operator's file, collected with their location and
+//! reported together.
 //!
-//! [`SourceText`] turns byte offsets into lines and columns, [`TableReader`]
-//! reads one TOML table and notes every problem in a [`FindingList`]. The
-//! manifest and the router's settings share them. Nothing here knows what the
-//! keys mean.
+//! [`SourceText`] converts byte offsets to lines and columns. [`TableReader`]
+//! reads one TOML table and adds each problem to a [`FindingList`]. Both are
+//! independent of the meaning of the keys.
 
 mod list;
 mod nearest;
--- a/crates/guavawell-core/src/finding/nearest.rs
+++ b/crates/guavawell-core/src/finding/nearest.rs
@@ -1,9 +1,11 @@
-//! The nearest known word to a mistyped one.
+//! Finds the known word that is most similar to a mistyped one.
 
-/// Words further apart than this share of their length are not near.
+/// Words are similar if their distance is at most the length of the longer word
+/// divided by this.
 const MAX_DISTANCE_DIVISOR: usize = 2;
 
-/// The word of `known` with the fewest edits from `word`, if it is near.
+/// Returns the word of `known` with the smallest edit distance to `word`, unless
+/// that distance is more than half of the longer word's length.
 #[must_use]
 pub fn nearest_word<'k>(word: &str, known: &[&'k str]) -> Option<&'k str> {
     let scored = known
@@ -14,8 +16,8 @@
     (distance * MAX_DISTANCE_DIVISOR <= longest).then_some(nearest)
 }
 
-/// Levenshtein distance in characters, where a swap of two neighbours counts
-/// as one edit (optimal string alignment).
+/// Optimal string alignment distance in characters: Levenshtein distance in which
+/// swapping two adjacent characters counts as one edit.
 fn edit_distance(left: &str, right: &str) -> usize {
     let left: Vec<char> = left.chars().collect();
     let right: Vec<char> = right.chars().collect();
--- a/crates/guavawell-core/src/finding/place.rs
+++ b/crates/guavawell-core/src/finding/place.rs
@@ -1,19 +1,19 @@
-//! Where in a file a finding was made.
+//! Location of a finding in a file.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A place in an operator's file.
+/// A location in an operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct FindingPlace {
-    /// The file, as the operator named it.
+    /// The file's path as the operator gave it.
     pub file: Box<str>,
     /// The line, counted from 1; 0 if the finding is about the whole file.
     pub line: u32,
     /// The column in characters, counted from 1; 0 if it is not known.
     pub column: u32,
-    /// The key with its tables, as `budget[3].paid`; may be empty.
+    /// The key with the path of its table, such as `budget[3].paid`; may be empty.
     pub key: Box<str>,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A value together with the byte offset at which the file states it.
+/// A value and its byte offset in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedValue<T> {
     /// The value.
@@ -43,13 +43,13 @@
 }
 
 impl<T> PlacedValue<T> {
-    /// A value stated at `offset`.
+    /// A value that starts at `offset`.
     pub const fn new(value: T, offset: usize) -> Self {
         Self { value, offset }
     }
 }
 
-/// The line, from 1, of the byte `offset` in `text`.
+/// Returns the line of the byte `offset` in `text`, counted from 1.
 #[must_use]
 pub fn line_at(text: &str, offset: usize) -> u32 {
     let before = text.as_bytes().iter().take(offset);
--- a/crates/guavawell-core/src/finding/problem.rs
+++ b/crates/guavawell-core/src/finding/problem.rs
@@ -1,23 +1,23 @@
-//! What is wrong at a place.
+//! Kinds of problems in an operator's file.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// A kind of TOML value, named for operators.
+/// A kind of TOML value, displayed in terms for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
-    /// Text in quotes.
+    /// A string.
     Text,
-    /// A whole number.
+    /// An integer.
     Integer,
     /// `true` or `false`.
     Boolean,
-    /// A list of texts.
+    /// An array of strings.
     TextList,
     /// A table.
     Table,
-    /// A list of tables.
+    /// An array of tables.
     TableList,
 }
 
@@ -34,36 +34,36 @@
     }
 }
 
-/// What is wrong at a place.
+/// What is wrong at a location.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FindingProblem {
-    /// The file is not TOML at this place.
+    /// The file is not valid TOML.
     #[error("not valid TOML: {message}")]
     Syntax {
-        /// The parser's explanation.
+        /// The parser's message.
         message: Box<str>,
     },
-    /// The key means nothing here.
+    /// The table has no such key.
     #[error("unknown key{}", suggestion(.nearest.as_deref()))]
     UnknownKey {
-        /// The nearest key that would mean something, if one is near.
+        /// The most similar known key, if one is similar enough.
         nearest: Option<Box<str>>,
     },
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("missing; state {expected}")]
     MissingKey {
-        /// The kind of value to state.
+        /// The kind of value that the key needs.
         expected: ValueKind,
     },
-    /// The value is of another type.
+    /// The value has the wrong type.
     #[error("expected {expected}, found {found}")]
     WrongType {
-        /// The kind of value that belongs here.
+        /// The expected kind of value.
         expected: ValueKind,
-        /// The kind of value found.
+        /// The TOML type found.
         found: Box<str>,
     },
-    /// The number lies outside its range.
+    /// The number is outside the accepted range.
     #[error("{found} is outside {low} to {high}")]
     OutOfRange {
         /// The number found.
@@ -73,34 +73,34 @@
         /// The largest accepted number.
         high: u64,
     },
-    /// The text does not read as the value that belongs here.
+    /// The string cannot be parsed as the expected value.
     #[error("{reason}")]
     BadValue {
-        /// What is wrong and what would be right.
+        /// What is wrong and what would be correct.
         reason: Box<str>,
     },
-    /// The same thing is stated a second time.
+    /// A name is defined a second time.
     #[error("`{name}` is stated twice; the first is on line {first_line}")]
     Duplicate {
-        /// The name stated twice.
+        /// The name that is defined twice.
         name: Box<str>,
-        /// The line of the first.
+        /// The line of the first definition.
         first_line: u32,
     },
-    /// The value names something that the file does not hold.
+    /// The value refers to something that the file does not define.
     #[error("there is no {kind} `{name}`{}", suggestion(.nearest.as_deref()))]
     DanglingReference {
-        /// The kind of thing named, for instance `budget`.
+        /// The kind of the missing definition, such as `budget`.
         kind: &'static str,
-        /// The name.
+        /// The name in the reference.
         name: Box<str>,
-        /// The nearest name that exists, if one is near.
+        /// The most similar defined name, if one is similar enough.
         nearest: Option<Box<str>>,
     },
-    /// Two statements of the file do not go together.
+    /// Two values in the file contradict each other.
     #[error("{reason}")]
     Conflict {
-        /// What clashes, and the way out.
+        /// Which values conflict, and how to correct them.
         reason: Box<str>,
     },
 }
--- a/crates/guavawell-core/src/finding/reader.rs
+++ b/crates/guavawell-core/src/finding/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one TOML table, noting every problem instead of stopping at the first.
+//! Reads one TOML table and reports all problems instead of stopping at the first.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -17,7 +17,8 @@
 
 /// Reads one table key by key.
 ///
-/// Each read marks its key as known; [`TableReader::finish`] reports the rest.
+/// Each read marks its key as known. [`TableReader::finish`] reports all other
+/// keys of the table as unknown.
 #[derive(Debug)]
 pub struct TableReader<'t, 's> {
     table: &'t DeTable<'s>,
@@ -27,7 +28,7 @@
 }
 
 impl<'t, 's> TableReader<'t, 's> {
-    /// A reader of the whole file.
+    /// A reader of the root table.
     #[must_use]
     pub fn root(table: &'t Spanned<DeTable<'s>>) -> Self {
         Self::new(table.get_ref(), 0, "".into())
@@ -48,13 +49,13 @@
         self.offset
     }
 
-    /// The path of the table, as `budget[3]`; empty for the whole file.
+    /// The path of the table, such as `budget[3]`; empty for the root table.
     #[must_use]
     pub fn path(&self) -> Box<str> {
         self.path.clone()
     }
 
-    /// The full path of a key of this table, as `budget[3].paid`.
+    /// The full path of a key of this table, such as `budget[3].paid`.
     #[must_use]
     pub fn key_path(&self, key: &str) -> Box<str> {
         if self.path.is_empty() {
@@ -63,7 +64,7 @@
         format!("{}.{key}", self.path).into()
     }
 
-    /// Reads text that must be there.
+    /// Reads a required string and parses it.
     pub fn required<T>(
         &mut self,
         key: &'static str,
@@ -77,7 +78,7 @@
         self.optional(key, source)
     }
 
-    /// Reads text that may be left out.
+    /// Reads an optional string and parses it.
     pub fn optional<T>(
         &mut self,
         key: &'static str,
@@ -91,7 +92,8 @@
         self.parse_text(key, value, ValueKind::Text, source)
     }
 
-    /// Reads a list of texts; left out, it is empty.
+    /// Reads an array of strings and parses them. A missing key counts as an empty
+    /// array, and items that cannot be parsed are left out.
     pub fn list<T>(&mut self, key: &'static str, source: &mut SourceText<'_>) -> Vec<PlacedValue<T>>
     where
         T: FromStr,
@@ -110,7 +112,7 @@
             .collect()
     }
 
-    /// Reads a whole number that must be there.
+    /// Reads a required integer within `range`.
     pub fn required_integer(
         &mut self,
         key: &'static str,
@@ -121,7 +123,7 @@
         self.optional_integer(key, range, source)
     }
 
-    /// Reads a whole number that may be left out.
+    /// Reads an optional integer within `range`.
     pub fn optional_integer(
         &mut self,
         key: &'static str,
@@ -145,7 +147,7 @@
         number
     }
 
-    /// Reads `true` or `false`; left out, it is `default`.
+    /// Reads a boolean. A missing key counts as `default`.
     pub fn boolean(
         &mut self,
         key: &'static str,
@@ -162,7 +164,7 @@
         flag
     }
 
-    /// Reads a table that may be left out.
+    /// Returns a reader of an optional table.
     pub fn table(
         &mut self,
         key: &'static str,
@@ -177,7 +179,8 @@
         Some(TableReader::new(table, value.span().start, path))
     }
 
-    /// Reads a list of tables; left out, it is empty.
+    /// Returns readers of an array of tables. A missing key counts as an empty
+    /// array.
     pub fn tables(
         &mut self,
         key: &'static str,
@@ -203,7 +206,7 @@
         readers
     }
 
-    /// Reports every key that was not read.
+    /// Reports all keys that no call has read as unknown.
     pub fn finish(self, source: &mut SourceText<'_>) {
         for key in self.table.keys() {
             let word: &str = key.get_ref();
--- a/crates/guavawell-core/src/finding/source.rs
+++ b/crates/guavawell-core/src/finding/source.rs
@@ -1,4 +1,4 @@
-//! An operator's file and the findings made in it.
+//! The text of an operator's file and the findings in it.
 
 use toml::Spanned;
 use toml::de::DeTable;
@@ -8,7 +8,7 @@
 use super::FindingPlace;
 use super::FindingProblem;
 
-/// The text of one file, and what was found in it so far.
+/// The text of one file and its findings so far.
 #[derive(Clone, Debug)]
 pub struct SourceText<'s> {
     file: Box<str>,
@@ -18,7 +18,7 @@
 }
 
 impl<'s> SourceText<'s> {
-    /// The text of `file`, with no findings yet.
+    /// Creates a source without findings. `file` is the path shown in them.
     #[must_use]
     pub fn new(file: &str, text: &'s str) -> Self {
         let after_newlines = text.match_indices('\n').map(|(offset, _)| offset + 1);
@@ -34,8 +34,8 @@
     /// Parses the text as TOML.
     ///
     /// # Errors
-    /// Returns all syntax errors together. Nothing else is looked at then,
-    /// because what the parser recovers may mislead.
+    /// Returns all syntax errors. No other checks should follow, because the table
+    /// that the parser recovers may cause misleading findings.
     pub fn parse(&mut self) -> Result<Spanned<DeTable<'s>>, FindingList> {
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in &errors {
@@ -46,18 +46,19 @@
         std::mem::take(&mut self.findings).into_result(table)
     }
 
-    /// The line of a byte offset, counted from 1.
+    /// Returns the line of a byte offset, counted from 1.
     #[must_use]
     pub fn line(&self, offset: usize) -> u32 {
         saturating_u32(self.line_index(offset) + 1)
     }
 
-    /// The first line starts at 0, so some line starts at or before `offset`.
+    /// The index of the line with the byte `offset`. It always exists, since the
+    /// first line starts at 0.
     fn line_index(&self, offset: usize) -> usize {
         self.line_starts.partition_point(|start| *start <= offset) - 1
     }
 
-    /// Notes a problem at a byte offset.
+    /// Adds a problem at a byte offset to the findings.
     pub fn report(&mut self, offset: usize, key: &str, problem: FindingProblem) {
         let line_start = self.line_starts[self.line_index(offset)];
         let prefix = self.text.get(line_start..offset).unwrap_or_default();
@@ -70,10 +71,10 @@
         self.findings.push(Finding { place, problem });
     }
 
-    /// The value, or all findings if there are any.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
-    /// Returns the findings unless there are none.
+    /// Returns the findings sorted by place if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, FindingList> {
         self.findings.into_result(value)
     }
--- a/crates/guavawell-core/tests/manifest_findings.rs
+++ b/crates/guavawell-core/tests/manifest_findings.rs
@@ -1,4 +1,4 @@
-//! Every finding of a manifest comes back with its place, all together.
+//! Tests that all problems of a manifest are reported together, with their places.
 
 use guavawell_core::manifest::parse_manifest;
 
@@ -11,7 +11,7 @@
     }
 }
 
-/// The findings after replacing one statement of the good manifest.
+/// The findings after replacing one value of the valid manifest.
 fn findings_after(before: &str, after: &str) -> String {
     assert!(GOOD.contains(before), "the sample does not state {before}");
     findings(&GOOD.replacen(before, after, 1))
