--- a/crates/guavawell-core/src/platform/background.rs
+++ b/crates/guavawell-core/src/platform/background.rs
@@ -1,23 +1,24 @@
-//! What may wait writes no oftener than a small share of the platform allows.
+//! Limits background writes to a small part of a router's share.
 
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
 
-/// The part of a share that work which can wait may take: an eighth each for
-/// segments of the journal and for reports of settled use.
+/// Background work may use a share's rate divided by this: an eighth for segments of
+/// the journal, and an eighth for reports of settled use.
 const BACKGROUND_DIVISOR: u64 = 8;
 
-/// How long a journal's segments may stay open.
+/// How long segments of a journal stay open before they are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentInterval {
-    /// While the share is large.
+    /// Minimum time, used while the share is large.
     pub min: ClockSpan,
-    /// However small the share is.
+    /// Maximum time, however small the share is.
     pub max: ClockSpan,
 }
 
 impl SegmentInterval {
-    /// The wait at which `slots` journals write `spare` at most.
+    /// The time at which the journals of `slots` slots together write at most at
+    /// `rate`.
     #[must_use]
     pub fn for_rate(&self, rate: PlatformRate, slots: usize) -> ClockSpan {
         let slots = u64::try_from(slots).unwrap_or(u64::MAX);
@@ -28,7 +29,7 @@
     }
 }
 
-/// The rate at which work that can wait is sent at most.
+/// The maximum rate of one kind of background work.
 #[must_use]
 pub const fn background_rate(share: PlatformRate) -> PlatformRate {
     share.fraction(1, BACKGROUND_DIVISOR)
--- a/crates/guavawell-core/src/platform/backoff.rs
+++ b/crates/guavawell-core/src/platform/backoff.rs
@@ -1,20 +1,20 @@
-//! Waits between tries: doubling, capped, spread by jitter.
+//! Exponential backoff with an upper bound and jitter.
 
 use crate::clock::ClockSpan;
 
-/// The largest exponent, so that the shift never overflows.
+/// Limits the exponent, so that the shift does not overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
-/// A random part of a whole, drawn by the caller: 0 for none, `u16::MAX` for all.
+/// A random fraction chosen by the caller: 0 stands for 0, `u16::MAX` for 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Jitter(pub u16);
 
-/// How waits grow.
+/// Bounds of an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffPolicy {
-    /// The first wait at full jitter.
+    /// The longest wait after the first failure.
     pub first: ClockSpan,
-    /// The longest wait.
+    /// The longest wait after any number of failures.
     pub longest: ClockSpan,
 }
 
@@ -28,8 +28,9 @@
 }
 
 impl BackoffPolicy {
-    /// The wait after `failures` in a row (from 1): between half of the
-    /// doubled wait and all of it.
+    /// The wait after `failures` consecutive failures (from 1). It is `first`,
+    /// doubled for each further failure up to `longest`, and the jitter chooses
+    /// a time between half of that and all of it.
     #[must_use]
     pub fn wait(&self, failures: u32, jitter: Jitter) -> ClockSpan {
         let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/guavawell-core/src/platform/bucket.rs
+++ b/crates/guavawell-core/src/platform/bucket.rs
@@ -1,33 +1,34 @@
-//! A token bucket from which urgent operations may draw deeper than others.
+//! A token bucket in which some tokens are reserved for urgent operations.
 
 use super::class::ShareUrgency;
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
-/// Parts of one operation: a thousandth a second gains one in a millisecond.
+/// Micro-tokens per operation. A rate of one thousandth of an operation per second
+/// adds one micro-token per millisecond.
 const MICRO: u64 = 1_000_000;
 const PERCENT: u64 = 100;
 
-/// A router's share of the platform's writes or reads.
+/// Rate limit for one router's writes or reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharePolicy {
-    /// The rate.
+    /// Operations per second.
     pub rate: PlatformRate,
-    /// Operations that may follow each other at once after a pause.
+    /// Maximum number of operations sent at once after a pause.
     pub burst: u32,
 }
 
-/// Whether an operation may be sent.
+/// Result of taking a token for an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeResult {
-    /// It may; it was taken from the share.
+    /// A token was taken, so the operation may be sent.
     Granted,
-    /// Not before this span has passed.
+    /// No token is available; it may be tried again after this time.
     Wait(ClockSpan),
 }
 
-/// The bucket.
+/// A token bucket, counted in micro-tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TokenBucket {
     policy: SharePolicy,
@@ -45,20 +46,21 @@
         }
     }
 
-    /// Another pace; what was saved up beyond the new burst is lost.
+    /// Changes the policy; tokens beyond the new burst are discarded.
     pub fn set_policy(&mut self, policy: SharePolicy, now: ClockTime) {
         self.refill(now);
         self.policy = policy;
         self.micro_tokens = self.micro_tokens.min(self.capacity());
     }
 
-    /// Loses all that was saved up.
+    /// Discards all tokens.
     pub fn clear(&mut self, now: ClockTime) {
         self.refill(now);
         self.micro_tokens = 0;
     }
 
-    /// Takes one operation, if the bucket still has it for this urgency.
+    /// Takes a token if one is left after those reserved for more urgent
+    /// operations.
     pub fn take(&mut self, urgency: ShareUrgency, now: ClockTime) -> TakeResult {
         self.refill(now);
         let needed = self.reserved_above(urgency) + MICRO;
@@ -85,8 +87,8 @@
         self.policy.burst as u64 * MICRO
     }
 
-    /// What an urgency may not touch. At least one operation of any urgency
-    /// fits, however small the burst.
+    /// Micro-tokens that are reserved for more urgent operations. A full bucket
+    /// has at least one token for any urgency, however small the burst.
     fn reserved_above(&self, urgency: ShareUrgency) -> u64 {
         let reserved = self.capacity() * u64::from(urgency.reserved_percent) / PERCENT;
         reserved.min(self.capacity().saturating_sub(MICRO))
--- a/crates/guavawell-core/src/platform/circuit.rs
+++ b/crates/guavawell-core/src/platform/circuit.rs
@@ -1,18 +1,18 @@
-//! A circuit breaker: stops asking a platform that does not answer.
+//! Circuit breaker for a service of the platform that does not respond.
 
 use super::backoff::BackoffPolicy;
 use super::backoff::Jitter;
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
-/// When the circuit opens and how it probes.
+/// When the circuit opens, and when probes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CircuitPolicy {
-    /// Failures in a row that open the circuit.
+    /// Number of consecutive failures that open the circuit.
     pub failures: u32,
-    /// Waits between probes.
+    /// Backoff between probes.
     pub probes: BackoffPolicy,
-    /// A probe that has told nothing for this long is given up.
+    /// Time after which a probe without a result is considered lost.
     pub probe_timeout: ClockSpan,
 }
 
@@ -29,31 +29,31 @@
     }
 }
 
-/// Whether an exchange may start.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitDecision {
-    /// It may.
+    /// The circuit is closed, so the request may be sent.
     Pass,
-    /// It may, as the one probe of an open circuit.
+    /// The request may be sent as the only probe of an open circuit.
     Probe,
-    /// It may not; the next probe is this far away.
+    /// The request must not be sent; the next probe is due after this time.
     Open(ClockSpan),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CircuitState {
     Closed,
-    /// No exchange until `until`.
+    /// No request may be sent before `until`.
     Open {
         until: ClockTime,
     },
-    /// One exchange is under way since `since`.
+    /// One probe has been in flight since `since`.
     Probing {
         since: ClockTime,
     },
 }
 
-/// The circuit of one service of the platform.
+/// The circuit breaker of one service of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformCircuit {
     policy: CircuitPolicy,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Whether an exchange may start now; a probe is given to one at a time.
+    /// Decides whether a request may be sent now. Only one probe is allowed at a
+    /// time.
     pub fn admit(&mut self, now: ClockTime) -> CircuitDecision {
         match self.state {
             CircuitState::Closed => CircuitDecision::Pass,
@@ -88,8 +89,8 @@
         }
     }
 
-    /// An exchange was answered, if only by a refusal; true if that closed
-    /// the circuit.
+    /// Records a response, which may also be a refusal, since it shows that the
+    /// service works. Returns whether this closed the circuit.
     pub fn record_response(&mut self) -> bool {
         let was_open = self.is_open();
         self.failures = 0;
@@ -97,7 +98,8 @@
         was_open
     }
 
-    /// An exchange had no answer; true if that opened the circuit.
+    /// Records a request without a response. Returns whether this opened the
+    /// circuit.
     pub fn record_failure(&mut self, now: ClockTime, jitter: Jitter) -> bool {
         let was_open = self.is_open();
         self.failures = self.failures.saturating_add(1);
@@ -110,7 +112,7 @@
         !was_open
     }
 
-    /// Whether exchanges are held back.
+    /// Whether requests are blocked, except for probes.
     #[must_use]
     pub const fn is_open(&self) -> bool {
         !matches!(self.state, CircuitState::Closed)
--- a/crates/guavawell-core/src/platform/class.rs
+++ b/crates/guavawell-core/src/platform/class.rs
@@ -1,17 +1,17 @@
-//! Priority classes of writes and reads at the platform.
+//! Priority classes of writes to the platform and reads from it.
 
 use std::fmt;
 
-/// What a write to the platform is for, most urgent first.
+/// Purpose of a write, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WriteClass {
-    /// Slots, grants and budgets.
+    /// Budgets, grants and slots.
     Money,
-    /// Claims and seals of requests.
+    /// Claims of request ids and their seals.
     Claim,
     /// Segments of billing records.
     Journal,
-    /// Everything else: manifests, orders, marks.
+    /// Everything else, such as manifests, orders and marks.
     Rest,
 }
 
@@ -19,7 +19,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 4] = [Self::Money, Self::Claim, Self::Journal, Self::Rest];
 
-    /// The class as a metric's label.
+    /// The value of the metric label.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -37,14 +37,14 @@
     }
 }
 
-/// What a read at the platform is for, most urgent first.
+/// Purpose of a read, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ReadClass {
-    /// One row, before a write or in place of an answer that was lost.
+    /// One row, read before a write or to replace a lost response.
     Row,
-    /// Lists and ranges that are read again and again.
+    /// Lists and ranges that are read periodically.
     Poll,
-    /// Objects: pages of a manifest, segments of the journal.
+    /// Objects, such as pages of a manifest and segments of the journal.
     Bulk,
 }
 
@@ -52,7 +52,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Row, Self::Poll, Self::Bulk];
 
-    /// The class as a metric's label.
+    /// The value of the metric label.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -63,12 +63,13 @@
     }
 }
 
-/// How far down an operation may draw a share, and whether it may borrow.
+/// How many tokens an operation leaves to others, and whether it adds to demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareUrgency {
-    /// What it leaves to more urgent operations, in percent of the burst.
+    /// Tokens that it must leave to more urgent operations, in percent of the
+    /// burst.
     pub reserved_percent: u8,
-    /// Whether its waiting counts as demand for more than the own share.
+    /// Whether its waiting counts as demand for a larger share.
     pub raises_demand: bool,
 }
 
--- a/crates/guavawell-core/src/platform/demand.rs
+++ b/crates/guavawell-core/src/platform/demand.rs
@@ -1,4 +1,4 @@
-//! How much of the platform a router could use, measured from what it asked.
+//! Measures how many operations per second a router needs from the platform.
 
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
@@ -6,36 +6,38 @@
 
 const MILLI: u64 = 1_000;
 
-/// Least time over which a rate is measured.
+/// Minimum time over which a rate is measured.
 const MEASURE_WINDOW: ClockSpan = ClockSpan::from_millis(1_000);
 
-/// What a share that ran short asks for, as a multiple of what it has; it
-/// doubles with each window in a row, so that few lead from the smallest share
-/// to the largest, while a short bunch asks for nothing more.
+/// The demand after the first window with a shortage, as a multiple of the current
+/// share. It doubles with each consecutive window with a shortage, so a small share
+/// grows to a large one within a few windows, while a short burst does not ask for
+/// more than the current share.
 const MIN_FACTOR: u64 = 1;
 
-/// The largest multiple.
+/// Upper bound of that multiple.
 const MAX_FACTOR: u64 = 16;
 
 /// Demand of one router for writes or reads.
 ///
-/// Who waits for a share asks less often than it would: so demand is not
-/// measured by what was granted alone, but grows while anything had to wait.
+/// The operations that were sent do not show the whole demand, since a router that
+/// waits for its share sends less than it would. Demand therefore also grows while
+/// operations have to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareDemand {
     granted: u64,
     waited: bool,
-    /// The next multiple, while windows in a row ran short.
+    /// The multiple for the next window with a shortage.
     factor: u64,
     window_start: ClockTime,
-    /// What was sent, over some windows.
+    /// Moving average of the operations sent.
     sent_rate: PlatformRate,
-    /// What a share that ran short asks for; it fades.
+    /// Demand due to a shortage; it decays once nothing waits.
     shortage_rate: PlatformRate,
 }
 
 impl ShareDemand {
-    /// No demand yet.
+    /// Starts without any demand.
     #[must_use]
     pub const fn new(now: ClockTime) -> Self {
         Self {
@@ -48,31 +50,31 @@
         }
     }
 
-    /// An operation was sent.
+    /// Records an operation that was sent.
     pub const fn record_grant(&mut self) {
         self.granted += 1;
     }
 
-    /// An operation that may borrow had to wait.
+    /// Records that an operation had to wait which may raise the demand.
     pub const fn record_wait(&mut self) {
         self.waited = true;
     }
 
-    /// Whether the share ran short in this window or the one before.
+    /// Whether operations had to wait in this window or the one before.
     #[must_use]
     pub const fn is_short(&self) -> bool {
         self.waited || self.factor > MIN_FACTOR
     }
 
-    /// The demand, measured anew once a window has passed; `rate` is what the
-    /// share gives now.
+    /// Returns the demand, measured again once a window has passed. `rate` is the
+    /// current rate of the share.
     pub fn update(&mut self, rate: PlatformRate, now: ClockTime) -> PlatformRate {
         let elapsed = now.since(self.window_start);
         if elapsed >= MEASURE_WINDOW {
             self.measure(rate, elapsed);
             self.window_start = now;
         }
-        // Room for what comes in bunches.
+        // Twice the mean leaves room for bursts.
         self.sent_rate.fraction(2, 1).max(self.shortage_rate)
     }
 
--- a/crates/guavawell-core/src/platform/fair_share.rs
+++ b/crates/guavawell-core/src/platform/fair_share.rs
@@ -1,14 +1,14 @@
-//! Who gets how much of what lies idle: max-min fairness over announced demands.
+//! Max-min fair division of a pool by announced demands.
 
 use super::rate::PlatformRate;
 
-/// The part of `pool` that a router with demand `own` may borrow, where the
-/// others of its zone announced `others`.
+/// Returns the part of `pool` for a router with demand `own`, if the other routers
+/// of its zone announced `others`.
 ///
-/// Small demands are met whole, and the rest is divided alike among the large
-/// ones; what nobody asked for is divided alike among all that borrow. A part
-/// never grows with the demand of another: with one picture of the demands the
-/// parts sum up to the pool at most.
+/// Small demands are met in full, and the rest is divided equally among the large
+/// ones. What exceeds all demands is divided equally among the routers with a
+/// demand. A part never grows with the demand of another router, and the parts never
+/// exceed the pool in sum if all routers know the same demands.
 #[must_use]
 pub fn fair_share(pool: PlatformRate, own: PlatformRate, others: &[PlatformRate]) -> PlatformRate {
     if own == PlatformRate::ZERO {
--- a/crates/guavawell-core/src/platform/fleet.rs
+++ b/crates/guavawell-core/src/platform/fleet.rs
@@ -1,8 +1,9 @@
-//! A router's share of what the platform carries for the whole fleet.
+//! Computes one router's share of the operations that the platform allows the whole
+//! fleet.
 //!
-//! Half of the budget is divided alike: everybody's floor. The other half is
-//! lent within each zone, which has as much of it as it has of the routers, to
-//! those that announced demand beyond their floor.
+//! By default, half of this budget is divided equally: each router's floor. The
+//! other half is divided among the zones by their number of routers. Within a zone
+//! it goes to the routers that announced a demand above their floor.
 
 use super::bucket::SharePolicy;
 use super::fair_share::fair_share;
@@ -13,24 +14,25 @@
 
 const PERCENT: u64 = 100;
 
-/// How the budget is divided.
+/// How the budget is divided among routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharingPolicy {
-    /// The part of the budget that is divided alike, in percent.
+    /// Percentage of the budget that is divided equally.
     pub floor_percent: u8,
-    /// Time in which an announcement reaches the zone and is reckoned with
-    /// there: nothing is borrowed on a demand that others may not know yet.
+    /// Time in which an announced demand reaches all routers of the zone and
+    /// changes their shares. A router does not use a higher demand before that,
+    /// since the shares could then exceed the budget.
     pub propagation_time: ClockSpan,
-    /// The least demand announced. Demands are rounded up to this, doubled any
-    /// number of times, so that few changes have to be told.
+    /// The smallest demand that is announced. Demands are rounded up to this
+    /// times a power of two, so that few changes have to be announced.
     pub min_demand: PlatformRate,
-    /// Time for which a demand that fell is announced as it was.
+    /// Time for which a higher demand stays announced after it has fallen.
     pub hold_time: ClockSpan,
     /// Time after which an unchanged demand is announced again.
     pub renew_interval: ClockSpan,
-    /// Seconds of the share that may be saved up.
+    /// Length of the share's burst, in seconds of its rate.
     pub burst_seconds: u32,
-    /// Operations that may be saved up at least, however small the share.
+    /// Minimum burst in operations, however small the share.
     pub min_burst: u32,
 }
 
@@ -48,47 +50,47 @@
     }
 }
 
-/// What is known when a share is reckoned.
+/// What a share is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareInputs<'s> {
-    /// How many routers share the platform.
+    /// The number of routers that share the platform.
     pub size: FleetSize,
-    /// Live routers of the own zone, with this one.
+    /// Number of live routers in this router's zone, including itself.
     pub zone_live: u32,
-    /// What live routers of the zone announced, without this one.
+    /// Demands announced by the other live routers of the zone.
     pub others: &'s [PlatformRate],
-    /// What this router could use.
+    /// This router's demand.
     pub demand: PlatformRate,
 }
 
-/// One demand that was announced.
+/// A demand that was announced at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Announcement {
     at: ClockTime,
     demand: PlatformRate,
 }
 
-/// A share as it was reckoned.
+/// A computed share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareDecision {
     /// The share.
     pub policy: SharePolicy,
-    /// Demand beyond the floor that the zone should hear of now.
+    /// Demand above the floor that is to be announced to the zone now.
     pub announce: Option<PlatformRate>,
 }
 
-/// Reckons one router's share of the writes or of the reads.
+/// Computes one router's share of the writes or of the reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetShare {
     policy: SharingPolicy,
     budget: PlatformRate,
-    /// The last announcement older than the spread, and those since.
+    /// The last announcement older than the propagation time, and those since.
     announcements: Vec<Announcement>,
     announced_at: ClockTime,
 }
 
 impl FleetShare {
-    /// Nothing announced yet.
+    /// Starts without an announced demand.
     #[must_use]
     pub fn new(policy: SharingPolicy, budget: PlatformRate, now: ClockTime) -> Self {
         let none = Announcement {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Reckons the share anew.
+    /// Computes the share again.
     pub fn update(&mut self, inputs: &ShareInputs<'_>, now: ClockTime) -> ShareDecision {
         let floors = self
             .budget
@@ -121,7 +123,7 @@
         }
     }
 
-    /// A share of `rate`, with what may be saved up of it.
+    /// The policy for a share of `rate`, with its burst.
     #[must_use]
     pub fn with_burst(&self, rate: PlatformRate) -> SharePolicy {
         let saved = rate.fraction(u64::from(self.policy.burst_seconds), 1_000);
@@ -132,7 +134,8 @@
         }
     }
 
-    /// Announces a demand that changed much, or that has to be renewed.
+    /// Returns a demand to announce if it has changed or is due for renewal. A
+    /// lower demand is announced only below half of the last one.
     fn announce(&mut self, demand: PlatformRate, now: ClockTime) -> Option<PlatformRate> {
         let demand = self.round_up(demand);
         let (last, changed) = self.last();
@@ -159,13 +162,13 @@
         PlatformRate::from_milli(min_demand.saturating_mul(multiple))
     }
 
-    /// The demand announced last, and when it changed.
+    /// The last announced demand, and when it changed.
     fn last(&self) -> (PlatformRate, ClockTime) {
         let last = self.announcements.last();
         last.map_or_else(Default::default, |last| (last.demand, last.at))
     }
 
-    /// The least demand that any router of the zone may reckon with.
+    /// The smallest demand of this router that any router of the zone may know.
     fn min_known_demand(&mut self, now: ClockTime) -> PlatformRate {
         let propagation_time = self.policy.propagation_time;
         let is_known = |announcement: &Announcement| now.since(announcement.at) >= propagation_time;
--- a/crates/guavawell-core/src/platform/mod.rs
+++ b/crates/guavawell-core/src/platform/mod.rs
@@ -1,8 +1,7 @@
-//! The platform as a limited and failing resource: how often a router may
-//! write to it and read from it, when it stops asking, and when it tries again.
+//! Rate limits, circuit breakers and backoff for requests to the platform.
 //!
-//! Owns the pace only. What is written, and what a lost answer means, belongs
-//! to the aggregates that write.
+//! This module decides when a router may send a request to the platform. What is
+//! written, and what a lost response means, is decided by the modules that write.
 
 mod background;
 mod backoff;
--- a/crates/guavawell-core/src/platform/rate.rs
+++ b/crates/guavawell-core/src/platform/rate.rs
@@ -1,4 +1,4 @@
-//! Rates of operations at the platform.
+//! Rates of operations on the platform.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 const MILLI: u64 = 1_000;
 
-/// A rate of writes or reads, in thousandths of one a second.
+/// A rate of writes or reads, in thousandths of an operation per second.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,41 +15,41 @@
 pub struct PlatformRate(u64);
 
 impl PlatformRate {
-    /// Nothing at all.
+    /// No operations.
     pub const ZERO: Self = Self(0);
 
-    /// So many whole operations a second.
+    /// Creates a rate from whole operations per second.
     #[must_use]
     pub const fn per_second(operations: u64) -> Self {
         Self(operations.saturating_mul(MILLI))
     }
 
-    /// So many thousandths of an operation a second.
+    /// Creates a rate from thousandths of an operation per second.
     #[must_use]
     pub const fn from_milli(milli: u64) -> Self {
         Self(milli)
     }
 
-    /// Thousandths of an operation a second.
+    /// The rate in thousandths of an operation per second.
     #[must_use]
     pub const fn as_milli(self) -> u64 {
         self.0
     }
 
-    /// The part `dividend / divisor` of it; a divisor of 0 counts as 1.
+    /// The rate times `dividend / divisor`; a divisor of 0 counts as 1.
     #[must_use]
     pub const fn fraction(self, dividend: u64, divisor: u64) -> Self {
         let divisor = if divisor == 0 { 1 } else { divisor };
         Self(self.0.saturating_mul(dividend) / divisor)
     }
 
-    /// The sum of two rates.
+    /// The sum of two rates, limited to the largest rate.
     #[must_use]
     pub const fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// What is left of it beyond `other`.
+    /// The rate minus `other`, at least zero.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
--- a/crates/guavawell-core/src/platform/relay.rs
+++ b/crates/guavawell-core/src/platform/relay.rs
@@ -1,8 +1,10 @@
-//! Which peers may carry an exchange while the own link to the platform is out.
+//! Chooses peers that relay requests to the platform while this router cannot
+//! reach it.
 //!
-//! Peers that declined are left alone for a growing while, and after some
-//! exchanges that nobody carried all of them are, so that an outage for
-//! everybody costs few calls in a fleet of any size.
+//! A peer that declined is not asked again for an exponentially growing time.
+//! After several requests that no peer relayed, a circuit breaker stops asking
+//! any peer. An outage for the whole fleet therefore causes few calls between
+//! routers, whatever the size of the fleet.
 
 use super::backoff::BackoffPolicy;
 use super::backoff::Jitter;
@@ -12,19 +14,20 @@
 use crate::clock::ClockTime;
 use crate::id::InstanceId;
 
-/// Peers that an exchange is offered to, at most: one near, one elsewhere.
+/// Maximum number of peers that are asked to relay a request: one in this router's
+/// zone and one in another.
 pub const MAX_RELAYS: usize = 2;
 
-/// A peer that could carry an exchange.
+/// A peer that may relay requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayPeer {
     /// The peer.
     pub instance: InstanceId,
-    /// Whether it stands in this router's zone.
+    /// Whether it is in this router's zone.
     pub is_local: bool,
 }
 
-/// A peer that did not carry when asked last.
+/// A peer that did not relay the last request it was asked to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct DeclinedPeer {
     instance: InstanceId,
@@ -32,19 +35,19 @@
     blocked_until: ClockTime,
 }
 
-/// What peers answered when they were asked to carry.
+/// Chooses peers by how they responded to earlier relay requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySelector {
     policy: BackoffPolicy,
-    /// The way by peers as a whole.
+    /// Circuit breaker for relaying as a whole.
     circuit: PlatformCircuit,
     /// Sorted by instance.
     declined: Vec<DeclinedPeer>,
 }
 
 impl RelaySelector {
-    /// A book that leaves a peer alone as `policy` says, and all of them as
-    /// `circuit` says.
+    /// Creates a selector with the backoff `policy` for each peer and the
+    /// `circuit` policy for all of them together.
     #[must_use]
     pub const fn new(policy: BackoffPolicy, circuit: CircuitPolicy) -> Self {
         Self {
@@ -54,10 +57,10 @@
         }
     }
 
-    /// The peers to offer an exchange to, in this order. The first is a near
-    /// one if any may be asked; the second stands elsewhere if any may be
-    /// asked there, since a zone often loses the platform as a whole. `draws`
-    /// spread the choice within each. Whoever asks them tells [`Self::record_outcome`].
+    /// Returns the peers to ask, in this order. The first is in the same zone
+    /// and the second in another, where possible, since often a whole zone
+    /// loses the platform. `draws` choose at random among the peers of each kind.
+    /// After asking, the caller must call [`Self::record_outcome`].
     pub fn choose(
         &mut self,
         peers: &[RelayPeer],
@@ -81,7 +84,7 @@
         chosen
     }
 
-    /// An exchange was offered to all that were chosen, or carried by one.
+    /// Records whether one of the chosen peers relayed the request.
     pub fn record_outcome(&mut self, is_relayed: bool, now: ClockTime, jitter: Jitter) {
         if is_relayed {
             self.circuit.record_response();
@@ -90,14 +93,14 @@
         }
     }
 
-    /// A peer carried an exchange, however the platform answered it.
+    /// Records that a peer relayed a request, whatever the platform responded.
     pub fn record_success(&mut self, instance: &InstanceId) {
         if let Ok(index) = self.find(instance) {
             self.declined.remove(index);
         }
     }
 
-    /// A peer did not carry, or could not be reached.
+    /// Records that a peer did not relay a request or could not be reached.
     pub fn record_decline(&mut self, instance: &InstanceId, now: ClockTime, jitter: Jitter) {
         let index = match self.find(instance) {
             Ok(index) => index,
@@ -116,7 +119,7 @@
         peer.blocked_until = now + self.policy.wait(peer.failures, jitter);
     }
 
-    /// Forgets peers that are no longer there.
+    /// Removes peers that are not in `peers`.
     pub fn retain_peers(&mut self, peers: &[RelayPeer]) {
         let is_present = |peer: &DeclinedPeer| peers.iter().any(|p| p.instance == peer.instance);
         self.declined.retain(is_present);
@@ -133,7 +136,7 @@
     }
 }
 
-/// Takes one of `peers` by a draw.
+/// Removes and returns the peer of `peers` that `draw` selects.
 fn take_random<'a>(peers: &mut Vec<&'a RelayPeer>, draw: Jitter) -> Option<&'a RelayPeer> {
     if peers.is_empty() {
         return None;
--- a/crates/guavawell-core/src/platform/share.rs
+++ b/crates/guavawell-core/src/platform/share.rs
@@ -1,4 +1,4 @@
-//! This router's share of the platform's writes or reads, in use.
+//! Enforces this router's share of the platform's writes or reads.
 
 use super::background::background_rate;
 use super::bucket::SharePolicy;
@@ -12,14 +12,15 @@
 use crate::clock::ClockSpan;
 use crate::clock::ClockTime;
 
-/// How often a share that recovers from push-back is paced anew.
+/// Minimum time between two updates of the bucket's rate during recovery from an
+/// overload.
 const PACE_INTERVAL: ClockSpan = ClockSpan::from_millis(100);
 
-/// The part of the spare rate that is left while urgent work waits.
+/// Divides the background rate while other operations have to wait.
 const SHORTAGE_DIVISOR: u64 = 4;
 
-/// A share: its pace, what the platform's push-back left of it, and the
-/// demand that it met. Each class leaves a part of it to more urgent ones.
+/// A share with its token bucket, its reduction on overload and its measured
+/// demand. Each class leaves a part of the tokens to more urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformShare {
     policy: SharePolicy,
@@ -30,7 +31,7 @@
 }
 
 impl PlatformShare {
-    /// A share with its burst saved up.
+    /// Starts with a full burst.
     #[must_use]
     pub fn new(policy: SharePolicy, now: ClockTime) -> Self {
         Self {
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Another share, for instance after routers came or went; what was
-    /// saved up beyond the new burst is lost.
+    /// Changes the share, for instance when the number of routers changes. Tokens
+    /// beyond the new burst are discarded.
     pub fn set_policy(&mut self, policy: SharePolicy, now: ClockTime) {
         self.policy = policy;
         self.pace(now);
     }
 
-    /// Takes one operation, if the share still has it for its class.
+    /// Takes a token for one operation, if the share has one for its class.
     pub fn take(&mut self, urgency: impl Into<ShareUrgency>, now: ClockTime) -> TakeResult {
         if now.since(self.paced_at) >= PACE_INTERVAL {
             self.pace(now);
@@ -64,35 +65,34 @@
         answer
     }
 
-    /// The platform answered that it has too much to do: half of the share
-    /// is left, and nothing of what was saved up.
+    /// Records an overload response: halves the share and discards all tokens.
     pub fn overloaded(&mut self, now: ClockTime) {
         self.throttle.overloaded(now);
         self.bucket.clear(now);
         self.pace(now);
     }
 
-    /// The platform is back after an outage. Whatever waited for it would be
-    /// sent at once, by every router: so the share begins small and empty.
+    /// Records the end of an outage. Without a limit, every router would send all
+    /// waiting operations at once, so the share starts reduced and without tokens.
     pub fn resumed(&mut self, now: ClockTime) {
         self.throttle.resumed(now);
         self.bucket.clear(now);
         self.pace(now);
     }
 
-    /// What this router could use, as of `now`.
+    /// This router's demand at `now`.
     pub fn demand(&mut self, now: ClockTime) -> PlatformRate {
         let rate = self.rate(now);
         self.demand.update(rate, now)
     }
 
-    /// What the share gives now.
+    /// The current rate of the share, reduced after an overload.
     #[must_use]
     pub fn rate(&self, now: ClockTime) -> PlatformRate {
         self.throttle.apply(self.policy.rate, now)
     }
 
-    /// What may be used for work that can wait: less while other work waits.
+    /// The rate for background work, which is lower while other operations wait.
     #[must_use]
     pub fn background_rate(&self, now: ClockTime) -> PlatformRate {
         let rate = background_rate(self.rate(now));
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What push-back left of the share, in thousandths.
+    /// The usable part of the share after overloads, in thousandths.
     #[must_use]
     pub fn throttle_permille(&self, now: ClockTime) -> u64 {
         self.throttle.permille(now)
--- a/crates/guavawell-core/src/platform/size.rs
+++ b/crates/guavawell-core/src/platform/size.rs
@@ -1,4 +1,4 @@
-//! How many routers share the platform.
+//! Estimates the number of routers that share the platform.
 
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
@@ -6,17 +6,17 @@
 
 const MILLI: u64 = 1_000;
 
-/// How the assumed number of routers follows what is heard.
+/// How the estimate follows the observed numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SizePolicy {
-    /// Routers assumed at least after a start.
+    /// Minimum estimate after a start.
     pub initial_estimate: u32,
-    /// Time after a start in which the others are heard of.
+    /// Time after a start within which gossip makes the other routers known.
     pub estimate_time: ClockSpan,
-    /// Time in which the number falls to about a third, if the platform's
-    /// list agrees with fewer.
+    /// Time in which the estimate falls to about a third if the platform's list
+    /// shows fewer routers.
     pub shrink_time: ClockSpan,
-    /// The same while the platform's list cannot be read.
+    /// The same time while the platform's list cannot be read.
     pub shrink_time_unlisted: ClockSpan,
 }
 
@@ -31,20 +31,20 @@
     }
 }
 
-/// What a router knows of the number of routers.
+/// Observed numbers of routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SizeInputs {
-    /// Routers that gossip says are alive, with this one.
+    /// Live routers according to gossip, including this one.
     pub live: u32,
-    /// Routers that the platform lists, if it was read lately.
+    /// Routers in the platform's list, if it was read recently.
     pub listed: Option<u32>,
 }
 
-/// The number of routers that shares are reckoned by.
+/// The estimated number of routers, from which shares are computed.
 ///
-/// It grows at once and falls slowly: a zone that is parted from the others
-/// still leaves them theirs. Whoever reaches the platform to write can read
-/// its list as well, and sees the others there.
+/// It grows at once and falls slowly, so a zone that is partitioned from the others
+/// does not take over their shares. A router that can write to the platform can
+/// also read its list, which still includes the routers behind the partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     policy: SizePolicy,
@@ -55,7 +55,7 @@
 }
 
 impl FleetSize {
-    /// The first guess.
+    /// Starts with the initial estimate.
     #[must_use]
     pub const fn new(policy: SizePolicy, now: ClockTime) -> Self {
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes in what is heard now.
+    /// Updates the estimate from observed numbers.
     pub fn observe(&mut self, inputs: SizeInputs, now: ClockTime) {
         let observed = inputs.live.max(inputs.listed.unwrap_or(0)).max(1);
         let observed = u64::from(observed) * MILLI;
@@ -85,8 +85,8 @@
         self.milli_routers = self.milli_routers.saturating_sub(decrease).max(observed);
     }
 
-    /// The first list that comes once the others had time to be heard of
-    /// replaces the guess.
+    /// Replaces the initial estimate by the observed number at the first list
+    /// after `estimate_time`.
     fn replace_estimate(&mut self, inputs: SizeInputs, observed: u64, now: ClockTime) {
         let is_due = now.since(self.started_at) >= self.policy.estimate_time;
         if is_due && inputs.listed.is_some() {
@@ -97,14 +97,14 @@
         }
     }
 
-    /// The part of `rate` that `routers` of the fleet have.
+    /// The part of `rate` that belongs to `routers` routers of the fleet.
     #[must_use]
     pub fn share_of(&self, rate: PlatformRate, routers: u32) -> PlatformRate {
         let routers = (u64::from(routers) * MILLI).min(self.milli_routers);
         rate.fraction(routers, self.milli_routers)
     }
 
-    /// Routers, rounded up.
+    /// The estimated number of routers, rounded up.
     #[must_use]
     pub const fn routers(&self) -> u64 {
         self.milli_routers.div_ceil(MILLI)
--- a/crates/guavawell-core/src/platform/tests.rs
+++ b/crates/guavawell-core/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's share, circuit and waits, by their own clock.
+//! Unit tests of shares, circuit breakers, relays and backoff with simulated time.
 
 use super::BackoffPolicy;
 use super::CircuitDecision;
@@ -51,7 +51,8 @@
         }
         granted
     };
-    // Of eight writes, each class leaves a quarter more to those before it.
+    // Each class must leave a quarter of the eight writes to each more urgent
+    // class.
     let drained: Vec<u32> = WriteClass::ALL.iter().rev().map(|c| drain(*c)).collect();
     assert_eq!(drained, [2, 2, 2, 2]);
     assert_eq!(
@@ -182,7 +183,7 @@
     assert_eq!(
         names(&mut selector, &all, 149),
         "far-1 far-2",
-        "left alone longer"
+        "not asked for longer"
     );
     selector.record_success(&all[0].instance);
     assert_eq!(names(&mut selector, &all, 149), "near-1 far-2");
@@ -191,7 +192,7 @@
     assert_eq!(
         names(&mut selector, &all, 149),
         "near-1 far-2",
-        "a new life"
+        "a removed peer is forgotten"
     );
 }
 
@@ -205,10 +206,10 @@
         selector.record_outcome(false, at(0), Jitter(u16::MAX));
     }
     assert!(selector.choose(&many, at(199), draws).is_empty());
-    assert_eq!(selector.choose(&many, at(200), draws).len(), 2, "one tries");
+    assert_eq!(selector.choose(&many, at(200), draws).len(), 2, "one probe");
     assert!(
         selector.choose(&many, at(200), draws).is_empty(),
-        "one alone"
+        "one probe at a time"
     );
     selector.record_outcome(true, at(200), Jitter(0));
     assert_eq!(selector.choose(&many, at(200), draws).len(), 2);
--- a/crates/guavawell-core/src/platform/throttle.rs
+++ b/crates/guavawell-core/src/platform/throttle.rs
@@ -1,4 +1,4 @@
-//! What is left of a share after the platform pushed back.
+//! Reduces a share when the platform is overloaded.
 
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
@@ -6,17 +6,17 @@
 
 const FULL_PERMILLE: u64 = 1_000;
 
-/// How a share gives way to an overloaded platform.
+/// How a share is reduced on overload and restored afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ThrottlePolicy {
-    /// Overload answers within this span count as one.
+    /// Overload responses within this time count as one.
     pub min_halving_interval: ClockSpan,
-    /// Time in which a share recovers from nothing to its whole.
+    /// Time in which a share recovers from zero to its full size.
     pub recovery_time: ClockSpan,
-    /// The part never given up, in thousandths: somebody has to find out that
-    /// the platform is back.
+    /// Lower bound in thousandths of the share. Some requests must still be sent
+    /// to detect that the platform has recovered.
     pub min_permille: u64,
-    /// The part that a share begins with after an outage, in thousandths.
+    /// Thousandths of the share that are usable right after an outage.
     pub permille_after_outage: u64,
 }
 
@@ -31,7 +31,8 @@
     }
 }
 
-/// The part of a share in use: halved on overload, given back evenly.
+/// The usable part of a share, which is halved on overload and then restored
+/// linearly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareThrottle {
     policy: ThrottlePolicy,
@@ -41,7 +42,7 @@
 }
 
 impl ShareThrottle {
-    /// The whole share.
+    /// Starts with the full share.
     #[must_use]
     pub const fn new(policy: ThrottlePolicy, now: ClockTime) -> Self {
         Self {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The platform said that it has too much to do.
+    /// Records an overload response of the platform.
     pub fn overloaded(&mut self, now: ClockTime) {
         let interval = self.policy.min_halving_interval;
         if self
@@ -66,13 +67,14 @@
         self.set_permille(permille.max(self.policy.min_permille), now);
     }
 
-    /// The platform answers again after an outage: everybody has work for it.
+    /// Records the end of an outage. All routers have requests waiting then, so
+    /// the share starts reduced.
     pub fn resumed(&mut self, now: ClockTime) {
         let permille = self.permille(now).min(self.policy.permille_after_outage);
         self.set_permille(permille, now);
     }
 
-    /// The part in use, in thousandths.
+    /// The usable part of the share, in thousandths.
     #[must_use]
     pub fn permille(&self, now: ClockTime) -> u64 {
         let elapsed = now.since(self.updated_at).as_millis();
@@ -81,7 +83,7 @@
         self.permille.saturating_add(gained).min(FULL_PERMILLE)
     }
 
-    /// What is left of `rate`.
+    /// The usable part of `rate`.
     #[must_use]
     pub fn apply(&self, rate: PlatformRate, now: ClockTime) -> PlatformRate {
         rate.fraction(self.permille(now), FULL_PERMILLE)
--- a/crates/guavawell-core/tests/platform_share/lending.rs
+++ b/crates/guavawell-core/tests/platform_share/lending.rs
@@ -1,4 +1,4 @@
-//! Lending, sizes and waits, by figures.
+//! Tests of fair shares, fleet sizes and segment times with exact numbers.
 
 use guavawell_core::clock::ClockSpan;
 use guavawell_core::clock::ClockTime;
--- a/crates/guavawell-core/tests/platform_share/main.rs
+++ b/crates/guavawell-core/tests/platform_share/main.rs
@@ -1,5 +1,6 @@
-//! Many routers before one platform: their shares keep to its budget while
-//! routers come, go and are parted, and while it is overloaded or out.
+//! Simulates many routers that share one platform. Their shares stay within its
+//! budget while routers start, stop and are partitioned, and while the platform is
+//! overloaded or unavailable.
 
 #![expect(clippy::cast_possible_truncation, reason = "small numbers of a model")]
 
@@ -16,7 +17,7 @@
 const LIMIT: u64 = 500;
 const ZONES: usize = 7;
 
-/// More than any share allows.
+/// More writes than any share allows.
 const GREEDY: WriteLoad = WriteLoad {
     claims: 50_000,
     money: 20_000,
@@ -162,9 +163,9 @@
         simulation.routers[index] = simulation.new_router(zone, GREEDY);
     }
     simulation.run(30);
-    // For seconds the fresh ones know neither the others nor the list.
+    // New routers know neither the others nor the list for a few seconds.
     let overloads = simulation.outcome.overloads;
-    assert!(overloads <= 2 * LIMIT, "{overloads} writes turned away");
+    assert!(overloads <= 2 * LIMIT, "{overloads} writes rejected");
     assert!(simulation.total_rate() <= budget(100));
 }
 
--- a/crates/guavawell-core/tests/platform_share/simulation.rs
+++ b/crates/guavawell-core/tests/platform_share/simulation.rs
@@ -1,5 +1,6 @@
-//! Routers before one platform with a limit: their shares are the real state
-//! machines, everything else is a fake with its own clock and a fixed seed.
+//! Simulation of routers that share one platform with a write limit. The shares are
+//! the real state machines. Everything else is simulated, with its own clock and a
+//! seeded random generator.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,49 +22,49 @@
 
 pub const STEP_MS: u64 = 10;
 const SECOND_MS: u64 = 1_000;
-/// Claims that one transaction takes.
+/// Maximum number of claims in one transaction.
 const BATCH: usize = 64;
-/// Longest way of a note through a zone.
+/// Maximum time for a message to reach a router of the same zone.
 const MAX_MESSAGE_DELAY_MS: u64 = 1_500;
 /// Age of the platform's list.
 const LIST_LAG_MS: u64 = 10_000;
-/// Age of what gossip knows of who is alive.
+/// Age of gossip's information about live routers.
 const GOSSIP_LAG_MS: u64 = 4_000;
 
-/// The settings' defaults.
+/// Defaults of the settings.
 const SEGMENT_WAIT: SegmentInterval = SegmentInterval {
     min: ClockSpan::from_millis(5_000),
     max: ClockSpan::from_millis(30_000),
 };
 
-/// How a router comes to its share.
+/// How a router's share is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// The same for each, whatever the others do.
+    /// A fixed number of writes per second for each router.
     #[allow(dead_code, reason = "only the example compares with it")]
     Fixed(u64),
-    /// A part of a budget for all, in writes a second.
+    /// A part of a common budget, in writes per second.
     Fleet(u64),
 }
 
-/// What one router is asked for, in thousandths a second.
+/// Writes that arrive at one router, in thousandths per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteLoad {
     pub claims: u64,
-    /// Refills that somebody waits for.
+    /// Budget refills that a request waits for.
     pub money: u64,
-    /// Reports of settled use that an hourly interval asks for.
+    /// Reports of settled use at an hourly interval.
     pub reports: u64,
-    /// Slots with records for the journal.
+    /// Slots that have records for the journal, in thousandths.
     pub slots: u64,
 }
 
-/// What the platform saw and callers waited.
+/// Writes seen by the platform, and how long claims waited.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Writes that arrived, by second.
+    /// Writes that arrived in each second.
     pub offered: Vec<u64>,
-    /// Writes turned away over the limit.
+    /// Writes rejected above the limit.
     pub overloads: u64,
     /// Waits of claims, in milliseconds.
     pub claim_waits: Vec<u64>,
@@ -79,7 +80,7 @@
         self.offered.iter().sum::<u64>() / seconds
     }
 
-    /// The wait that so many of a hundred claims kept within.
+    /// The given percentile of the claims' waits.
     pub fn claim_wait(&self, percent: usize) -> u64 {
         let mut waits = self.claim_waits.clone();
         waits.sort_unstable();
@@ -90,7 +91,7 @@
 
 pub struct Router {
     pub zone: usize,
-    /// Only routers of one part hear each other.
+    /// Only routers in the same network partition receive each other's messages.
     pub partition: usize,
     pub is_alive: bool,
     pub load: WriteLoad,
@@ -115,24 +116,25 @@
     }
 }
 
-/// When it arrives, at whom, from whom, when it was sent, and the demand.
+/// Arrival time, receiver, sender, send time and announced demand.
 type DemandMessage = (ClockTime, usize, usize, ClockTime, PlatformRate);
 
 pub struct Simulation {
     pub now: ClockTime,
     pub routers: Vec<Router>,
     pub outcome: Outcome,
-    /// Demands announced.
+    /// Number of announced demands.
     pub announces: u64,
     pub is_unavailable: bool,
     /// Whether the platform's list can be read.
     pub is_listed: bool,
-    /// Writes a second that the platform carries.
+    /// Writes per second that the platform accepts.
     pub limit: u64,
     sharing: Sharing,
     used: u64,
     messages: BinaryHeap<Reverse<DemandMessage>>,
-    /// Numbers of live routers by part and in all, of each second.
+    /// For each second the number of live routers: in all at index 0, then by
+    /// partition.
     census: Vec<Vec<u32>>,
     random: u64,
 }
@@ -160,7 +162,7 @@
         world
     }
 
-    /// A router that was just started.
+    /// A router that starts now.
     pub fn new_router(&self, zone: usize, load: WriteLoad) -> Router {
         let budget = match self.sharing {
             Sharing::Fixed(rate) | Sharing::Fleet(rate) => PlatformRate::per_second(rate),
@@ -201,14 +203,14 @@
         }
     }
 
-    /// Runs for so many seconds.
+    /// Runs the simulation for some seconds.
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds * SECOND_MS / STEP_MS {
             self.step();
         }
     }
 
-    /// Forgets what was measured so far.
+    /// Discards all measurements.
     pub fn reset_outcome(&mut self) {
         self.outcome = Outcome::default();
     }
@@ -248,7 +250,8 @@
         self.census.push(census);
     }
 
-    /// The count of `partition`, or of all at 0, as it was `lag` ago.
+    /// The number of live routers `lag` milliseconds ago: in all at index 0, or in
+    /// partition `partition` - 1.
     fn counted(&self, partition: usize, lag: u64) -> u32 {
         let index = self
             .census
@@ -272,13 +275,13 @@
         router.reports += reports;
         router.segments += segments;
         if let Sharing::Fleet(_) = self.sharing {
-            // What a report may take grows by the step, up to one report.
+            // The allowance for reports grows with each step, up to one report.
             let spare = router.share.background_rate(now).as_milli() * STEP_MS;
             router.report_milli = (router.report_milli + spare).min(1_000_000);
         }
     }
 
-    /// Segments that are due, in thousandths a second.
+    /// Segments that are due, in thousandths per second.
     fn segments(&self, index: usize) -> u64 {
         let router = &self.routers[index];
         let slots = router.load.slots;
@@ -292,7 +295,7 @@
         slots * SECOND_MS / wait.as_millis()
     }
 
-    /// So many of what comes `milli` thousandths a second.
+    /// Random number of events in one step, at `milli` thousandths per second.
     fn draw(&mut self, milli: u64) -> u64 {
         let chances = milli * STEP_MS;
         let left = chances % 1_000_000;
@@ -306,7 +309,7 @@
         self.random >> 11
     }
 
-    /// Reckons the share anew, once a second and router.
+    /// Computes the share of each router again once per second.
     fn update_share(&mut self, index: usize) {
         let Sharing::Fleet(_) = self.sharing else {
             return;
@@ -374,7 +377,7 @@
         }
     }
 
-    /// Sends what the share allows, the urgent first.
+    /// Sends what the share allows, the most urgent class first.
     fn write(&mut self, index: usize) {
         if self.is_unavailable {
             let spread = ClockSpan::from_millis(750 + self.random() % 750);
@@ -414,8 +417,8 @@
         }
     }
 
-    /// With a fixed share reports go as they come; else no oftener than the
-    /// spare part of the share allows.
+    /// With a fixed share, reports are sent as they come; otherwise at most at the
+    /// background rate.
     fn may_report(&self, index: usize) -> bool {
         let router = &self.routers[index];
         let is_paced = matches!(self.sharing, Sharing::Fleet(_));
@@ -440,7 +443,7 @@
             Sharing::Fleet(_) => router.share.overloaded(now),
             Sharing::Fixed(_) => router.failures += 1,
         }
-        // The drivers' own waits: 50 ms, doubled up to 5 s.
+        // The backoff of the product's drivers: 50 ms, doubled up to 5 s.
         let wait = (50_u64 << router.failures.min(7)).min(5_000);
         router.blocked_until = now + ClockSpan::from_millis(wait);
         false
