--- a/crates/guavawell-core/src/atomic/explore.rs
+++ b/crates/guavawell-core/src/atomic/explore.rs
@@ -1,10 +1,10 @@
-//! Runs a concurrent test body in every interleaving, for the unit tests.
+//! Runs a concurrent unit test in every interleaving.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-/// Runs `body` in every execution that `loom` finds and prints their number.
+/// Runs `body` in every execution that `loom` explores, and prints their number.
 pub(crate) fn explore(name: &str, body: impl Fn() + Send + Sync + 'static) {
     let count = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&count);
--- a/crates/guavawell-core/src/atomic/mod.rs
+++ b/crates/guavawell-core/src/atomic/mod.rs
@@ -1,8 +1,8 @@
-//! The atomic numbers of a request's path.
+//! Atomic integers for the state that requests update concurrently.
 //!
-//! They are the standard library's. In this crate's own unit tests they are
-//! `loom`'s, which runs every interleaving and every value that the memory
-//! orders allow; there they work inside `loom::model` only.
+//! They are the types of the standard library. In this crate's unit tests they are
+//! the types of `loom` instead, which explores every interleaving and every value
+//! that the memory orderings allow. Those types work only inside `loom::model`.
 
 #[cfg(test)]
 mod explore;
