--- a/crates/guavawell-core/src/atomic/explore.rs
+++ b/crates/guavawell-core/src/atomic/explore.rs
@@ -7,9 +7,9 @@
 /// Runs `body` in every execution that `loom` explores, and prints their number.
 pub(crate) fn explore(name: &str, body: impl Fn() + Send + Sync + 'static) {
     let count = Arc::new(AtomicUsize::new(0));
-    let seen = Arc::clone(&count);
+    let counter = Arc::clone(&count);
     loom::model(move || {
-        seen.fetch_add(1, Ordering::Relaxed);
+        counter.fetch_add(1, Ordering::Relaxed);
         body();
     });
     println!("{name}: {} executions", count.load(Ordering::Relaxed));
--- a/crates/guavawell-core/src/platform/fair_share.rs
+++ b/crates/guavawell-core/src/platform/fair_share.rs
@@ -21,8 +21,8 @@
         .collect();
     demands.push(own.as_milli());
     demands.sort_unstable();
-    let borrowers = demands.len() as u64;
-    let (mut rest, mut left) = (pool.as_milli(), borrowers);
+    let routers = demands.len() as u64;
+    let (mut rest, mut left) = (pool.as_milli(), routers);
     for demand in demands {
         let even = rest / left;
         if demand > even {
@@ -31,5 +31,5 @@
         rest -= demand;
         left -= 1;
     }
-    own.saturating_add(PlatformRate::from_milli(rest / borrowers))
+    own.saturating_add(PlatformRate::from_milli(rest / routers))
 }
--- a/crates/guavawell-core/tests/orders.rs
+++ b/crates/guavawell-core/tests/orders.rs
@@ -203,8 +203,10 @@
     let row = row.release(&id("x"));
     assert_eq!(row.acquire(&id("z"), &settings, at(9_999)), Err(at(10_000)));
     let row = row.acquire(&id("z"), &settings, at(10_000)).expect("free");
-    let lapse = ClockTime::from_millis(0) + ClockSpan::from_millis(600_000);
-    let row = row.acquire(&id("w"), &settings, lapse).expect("y lapsed");
+    let expired_at = ClockTime::from_millis(0) + ClockSpan::from_millis(600_000);
+    let row = row
+        .acquire(&id("w"), &settings, expired_at)
+        .expect("y lapsed");
     assert_eq!(row.permits.len(), 2);
 }
 
