--- a/crates/guavawell-core/src/order/issue.rs
+++ b/crates/guavawell-core/src/order/issue.rs
@@ -1,12 +1,12 @@
-//! Issues one order to one engine.
+//! State machine that issues one order to one engine.
 //!
 //! The order is recorded in the table under a new fencing number before it is
-//! sent. Before every send the engine's state and then the row are read: a
-//! second send happens only while the engine is not in the ordered state and
-//! the row still names this issuer. So a lost answer repeats nothing, and an
-//! issuer that was replaced stops, also where the engine ignores the number.
-//! What a late duplicate changed shows in the next load report, and
-//! [`plan`](super::plan) orders it back.
+//! sent. Before each send, the engine's state and then the row are read. The
+//! order is sent again only if the engine is not in the ordered state and the
+//! row still names this issuer. A lost response alone therefore causes no second
+//! send, and an issuer that was replaced stops even if the engine
+//! ignores fencing numbers. If a delayed duplicate still reaches the engine, its
+//! effect shows in the next load report, and [`plan`](super::plan) reverts it.
 
 use super::row::EngineReading;
 use super::row::IssuerId;
@@ -16,98 +16,100 @@
 use crate::clock::ClockTime;
 use crate::id::FenceNumber;
 
-/// How an order is issued.
+/// Limits for issuing an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Pause between two readings of the engine.
-    pub poll: ClockSpan,
-    /// Sends after which the order is given up.
-    pub sends: u32,
+    /// Time between two reads of the engine's state.
+    pub poll_interval: ClockSpan,
+    /// Maximum number of sends before the order fails.
+    pub max_sends: u32,
 }
 
 impl Default for OrderSettings {
     fn default() -> Self {
         Self {
-            poll: ClockSpan::from_millis(1_000),
-            sends: 3,
+            poll_interval: ClockSpan::from_millis(1_000),
+            max_sends: 3,
         }
     }
 }
 
-/// How a compare-and-swap ended.
+/// Result of a compare-and-swap on the row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect.
+    /// The row was written.
     Done,
-    /// The row had changed.
+    /// The row's revision had changed, so nothing was written.
     Conflict,
-    /// The answer was lost.
+    /// The response was lost, so the row may have been written or not.
     Unknown,
 }
 
-/// How a send to the engine ended.
+/// Result of a send to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// The engine took the order.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has seen a higher fencing number.
+    /// The engine has received a higher fencing number.
     Stale,
-    /// The answer was lost.
+    /// The response was lost, so the engine may have the order or not.
     Unknown,
 }
 
-/// What happened.
+/// Input of [`OrderIssuer::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssueEvent {
-    /// The row and its revision (zero without a row).
+    /// The row was read, with its revision (0 if there is no row).
     Row(Option<OrderRow>, u64),
-    /// The row was written, or not.
+    /// A write of the row ended.
     Written(WriteResult),
     /// The engine's state was read.
     Engine(EngineReading),
-    /// A permit of the weight store was taken, or is not to be had until then.
+    /// A weight-store permit was acquired, or the next attempt is due at the
+    /// given time.
     Permit(Result<(), ClockTime>),
-    /// The order was sent.
+    /// A send of the order ended.
     Sent(SendResult),
-    /// The wait is over.
+    /// A requested wait is over.
     Woken,
-    /// The table or the engine could not be read.
+    /// Reading the table or the engine failed.
     Unreadable,
 }
 
-/// What to do next.
+/// Action that the caller performs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssueEffect {
     /// Read the row.
     ReadRow,
-    /// Write the row if its revision is still this.
+    /// Write the row if its revision is still the given one.
     WriteRow(u64, OrderRow),
-    /// Read the engine's orders and models.
+    /// Read the engine's state.
     ReadEngine,
-    /// Take a permit of the weight store.
-    TakePermit,
-    /// Send the order under this fencing number.
+    /// Acquire a weight-store permit.
+    AcquirePermit,
+    /// Send the order with this fencing number.
     Send(FenceNumber, OrderKind),
-    /// Wait until then.
+    /// Wait until the given time.
     Wait(ClockTime),
-    /// Finished; give the permit back if one was taken.
+    /// The order has ended; release the permit if one was acquired.
     Finish(IssueOutcome),
 }
 
-/// How an order ended.
+/// Final result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IssueOutcome {
-    /// The engine is in the ordered state, and the row says so.
+    /// The engine is in the ordered state, and the row is marked as done.
     Applied,
     /// Another issuer has an open order.
     HeldByOther,
-    /// Another issuer has taken the row over.
+    /// Another issuer has replaced this one or sent a higher fencing number.
     Superseded,
-    /// The engine did not follow; the row stays open for the next try.
+    /// The engine is not in the ordered state after the maximum number of sends.
+    /// The row stays open, so that a later attempt can continue.
     Failed,
 }
 
-/// What the next event answers.
+/// Where the issuer stands, which decides how the next event is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IssueStep {
     Record,
@@ -118,23 +120,23 @@
     Close,
 }
 
-/// One order on its way.
+/// Issues one order.
 #[derive(Clone, Debug)]
 pub struct OrderIssuer {
     settings: OrderSettings,
     issuer: IssuerId,
     kind: OrderKind,
-    /// Whether an open order of another issuer may be taken over: its life has
-    /// ended by membership, or an operator said so.
+    /// Whether an open order of another issuer may be replaced: membership says
+    /// that the issuer has ended, or an operator asked for it.
     take_over: bool,
     step: IssueStep,
     fence: FenceNumber,
-    permit: bool,
+    has_permit: bool,
     sends: u32,
 }
 
 impl OrderIssuer {
-    /// A new order; begin with [`IssueEffect::ReadRow`].
+    /// Creates an issuer; the caller starts with [`IssueEffect::ReadRow`].
     #[must_use]
     pub fn new(
         settings: OrderSettings,
@@ -149,33 +151,33 @@
             take_over,
             step: IssueStep::Record,
             fence: FenceNumber::default(),
-            permit: false,
+            has_permit: false,
             sends: 0,
         }
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns the next action.
     pub fn handle(&mut self, event: IssueEvent, now: ClockTime) -> IssueEffect {
         match event {
-            IssueEvent::Row(row, revision) => self.row(row, revision),
-            IssueEvent::Written(result) => self.written(result),
-            IssueEvent::Engine(reading) => self.engine(&reading, now),
+            IssueEvent::Row(row, revision) => self.handle_row(row, revision),
+            IssueEvent::Written(result) => self.handle_write(result),
+            IssueEvent::Engine(reading) => self.handle_reading(&reading, now),
             IssueEvent::Permit(Ok(())) => {
-                self.permit = true;
+                self.has_permit = true;
                 self.read_engine()
             }
             IssueEvent::Permit(Err(until)) => IssueEffect::Wait(until),
             IssueEvent::Sent(SendResult::Stale) => IssueEffect::Finish(IssueOutcome::Superseded),
             IssueEvent::Sent(_) => {
                 self.step = IssueStep::Engine;
-                self.pause(now)
+                self.wait_for_poll(now)
             }
-            IssueEvent::Woken => self.again(),
-            IssueEvent::Unreadable => self.pause(now),
+            IssueEvent::Woken => self.resume(),
+            IssueEvent::Unreadable => self.wait_for_poll(now),
         }
     }
 
-    fn row(&mut self, row: Option<OrderRow>, revision: u64) -> IssueEffect {
+    fn handle_row(&mut self, row: Option<OrderRow>, revision: u64) -> IssueEffect {
         match self.step {
             IssueStep::Record => self.record(row, revision),
             IssueStep::Close => self.close(row, revision),
@@ -216,7 +218,7 @@
         IssueEffect::Send(self.fence, self.kind.clone())
     }
 
-    fn written(&mut self, result: WriteResult) -> IssueEffect {
+    fn handle_write(&mut self, result: WriteResult) -> IssueEffect {
         match (self.step, result) {
             (IssueStep::Close, WriteResult::Done) => IssueEffect::Finish(IssueOutcome::Applied),
             (IssueStep::Record, WriteResult::Done) => self.read_engine(),
@@ -224,7 +226,7 @@
         }
     }
 
-    fn engine(&mut self, reading: &EngineReading, now: ClockTime) -> IssueEffect {
+    fn handle_reading(&mut self, reading: &EngineReading, now: ClockTime) -> IssueEffect {
         self.step = IssueStep::Engine;
         if reading.fence > self.fence {
             return IssueEffect::Finish(IssueOutcome::Superseded);
@@ -233,23 +235,23 @@
             self.step = IssueStep::Close;
             return IssueEffect::ReadRow;
         }
-        if self.kind.is_under_way(reading) {
-            return self.pause(now);
+        if self.kind.is_in_progress(reading) {
+            return self.wait_for_poll(now);
         }
-        if self.sends >= self.settings.sends {
+        if self.sends >= self.settings.max_sends {
             return IssueEffect::Finish(IssueOutcome::Failed);
         }
-        if matches!(self.kind, OrderKind::Load(_)) && !self.permit {
+        if matches!(self.kind, OrderKind::Load(_)) && !self.has_permit {
             self.step = IssueStep::Permit;
-            return IssueEffect::TakePermit;
+            return IssueEffect::AcquirePermit;
         }
         self.step = IssueStep::Confirm;
         IssueEffect::ReadRow
     }
 
-    fn again(&mut self) -> IssueEffect {
+    fn resume(&mut self) -> IssueEffect {
         match self.step {
-            IssueStep::Permit => IssueEffect::TakePermit,
+            IssueStep::Permit => IssueEffect::AcquirePermit,
             IssueStep::Record | IssueStep::Close | IssueStep::Confirm => IssueEffect::ReadRow,
             IssueStep::Engine | IssueStep::Send => self.read_engine(),
         }
@@ -275,7 +277,7 @@
         row.owner == self.issuer && row.fence == self.fence
     }
 
-    fn pause(&self, now: ClockTime) -> IssueEffect {
-        IssueEffect::Wait(now + self.settings.poll)
+    fn wait_for_poll(&self, now: ClockTime) -> IssueEffect {
+        IssueEffect::Wait(now + self.settings.poll_interval)
     }
 }
--- a/crates/guavawell-core/src/order/permit.rs
+++ b/crates/guavawell-core/src/order/permit.rs
@@ -1,9 +1,12 @@
-//! Permits of the weight store: one fleet-wide rate for loads.
+//! Permits that limit the rate of model loads from the weight store for the
+//! whole fleet.
 //!
-//! One row of the table lists the loads under way; it is changed by
-//! compare-and-swap only. A permit is held for the load and for a shortest time,
-//! so the rate is at most `slots` loads in `hold`. A permit whose issuer died
-//! lapses: the rate is a courtesy to the store and guards no money.
+//! One table row lists the permits and is changed by compare-and-swap only. A
+//! permit counts until its load has ended, and for at least `min_hold`, so at
+//! most `max_loads` loads start within `min_hold`. A permit that was never
+//! released stops counting after `expiry`, since its issuer may have crashed.
+//! More loads than allowed are then possible; they slow the store down but
+//! affect no budget.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,33 +15,33 @@
 use crate::clock::ClockTime;
 use crate::id::BackendId;
 
-/// Bounds of the weight store.
+/// Limits on loads from the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitSettings {
-    /// Loads at a time.
-    pub slots: usize,
-    /// Shortest time that a permit counts.
-    pub hold: ClockSpan,
-    /// Time after which a permit lapses.
-    pub lapse: ClockSpan,
+    /// Maximum number of permits at a time.
+    pub max_loads: usize,
+    /// Minimum time for which a permit counts, even if its load ends earlier.
+    pub min_hold: ClockSpan,
+    /// Time after which a permit that was not released stops counting.
+    pub expiry: ClockSpan,
 }
 
 impl Default for PermitSettings {
     fn default() -> Self {
         Self {
-            slots: 4,
-            hold: ClockSpan::from_millis(10_000),
-            lapse: ClockSpan::from_millis(600_000),
+            max_loads: 4,
+            min_hold: ClockSpan::from_millis(10_000),
+            expiry: ClockSpan::from_millis(600_000),
         }
     }
 }
 
-/// One load under way.
+/// A permit for one load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadPermit {
-    /// The server that loads.
+    /// The backend server that loads the model.
     pub backend: BackendId,
-    /// Since when, by the issuer's clock.
+    /// When the permit was acquired, by the issuer's clock.
     pub since: ClockTime,
     /// Whether the load has ended.
     pub ended: bool,
@@ -47,33 +50,40 @@
 /// The row `order-permits`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRow {
-    /// The permits that count.
+    /// All permits; expired ones are removed by the next [`PermitRow::acquire`].
     pub permits: Vec<LoadPermit>,
 }
 
 impl PermitRow {
-    /// The row with a permit for `backend`, to be written by compare-and-swap.
-    /// A permit that it holds already is kept: its answer may have been lost.
+    /// Returns the row with a permit for `backend`, to be written by
+    /// compare-and-swap. If `backend` holds a permit already, no second one is
+    /// added: the response to the write of the first may have been lost.
     ///
     /// # Errors
     ///
-    /// The earliest time at which a permit may be free.
-    pub fn take(
+    /// Returns the time of the next attempt if all permits are taken.
+    pub fn acquire(
         &self,
         backend: &BackendId,
         settings: &PermitSettings,
         now: ClockTime,
     ) -> Result<Self, ClockTime> {
         let mut row = self.clone();
-        row.permits.retain(|permit| permit.free_at(settings) > now);
-        let held = |permit: &LoadPermit| permit.backend == *backend && !permit.ended;
-        if row.permits.iter().any(held) {
+        row.permits
+            .retain(|permit| permit.counted_until(settings) > now);
+        let has_open_load = |permit: &LoadPermit| permit.backend == *backend && !permit.ended;
+        if row.permits.iter().any(has_open_load) {
             return Ok(row);
         }
-        if row.permits.len() >= settings.slots {
-            let free = row.permits.iter().map(|permit| permit.free_at(settings));
-            let soon = now + settings.hold;
-            return Err(free.min().map_or(soon, |free| free.min(soon)));
+        if row.permits.len() >= settings.max_loads {
+            let earliest = row
+                .permits
+                .iter()
+                .map(|permit| permit.counted_until(settings));
+            let next_check = now + settings.min_hold;
+            return Err(earliest
+                .min()
+                .map_or(next_check, |free| free.min(next_check)));
         }
         row.permits.push(LoadPermit {
             backend: backend.clone(),
@@ -83,9 +93,9 @@
         Ok(row)
     }
 
-    /// The row after the load of `backend` has ended.
+    /// Returns the row with the permits of `backend` marked as ended.
     #[must_use]
-    pub fn give_back(&self, backend: &BackendId) -> Self {
+    pub fn release(&self, backend: &BackendId) -> Self {
         let mut row = self.clone();
         for permit in &mut row.permits {
             permit.ended |= permit.backend == *backend;
@@ -95,12 +105,13 @@
 }
 
 impl LoadPermit {
-    fn free_at(&self, settings: &PermitSettings) -> ClockTime {
+    /// The time until which the permit counts against the limit.
+    fn counted_until(&self, settings: &PermitSettings) -> ClockTime {
         self.since
             + if self.ended {
-                settings.hold
+                settings.min_hold
             } else {
-                settings.lapse
+                settings.expiry
             }
     }
 }
--- a/crates/guavawell-core/src/platform/demand.rs
+++ b/crates/guavawell-core/src/platform/demand.rs
@@ -1,4 +1,4 @@
-//! How much of the platform a router could use, measured from what it asked.
+//! Measures how many operations per second a router needs from the platform.
 
 use super::rate::PlatformRate;
 use crate::clock::ClockSpan;
@@ -6,86 +6,91 @@
 
 const MILLI: u64 = 1_000;
 
-/// Least time over which a rate is measured.
-const WINDOW: ClockSpan = ClockSpan::from_millis(1_000);
+/// Minimum time over which a rate is measured.
+const MEASURE_WINDOW: ClockSpan = ClockSpan::from_millis(1_000);
 
-/// What a share that ran short asks for, as a multiple of what it has; it
-/// doubles with each window in a row, so that few lead from the smallest share
-/// to the largest, while a short bunch asks for nothing more.
-const SHORT_FACTOR: u64 = 1;
+/// The demand after the first window with a shortage, as a multiple of the current
+/// share. It doubles with each consecutive window with a shortage, so a small share
+/// grows to a large one within a few windows, while a short burst does not ask for
+/// more than the current share.
+const MIN_FACTOR: u64 = 1;
 
-/// The largest multiple.
-const MOST_FACTOR: u64 = 16;
+/// Upper bound of that multiple.
+const MAX_FACTOR: u64 = 16;
 
 /// Demand of one router for writes or reads.
 ///
-/// Who waits for a share asks less often than it would: so demand is not
-/// measured by what was granted alone, but grows while anything had to wait.
+/// The operations that were sent do not show the whole demand, since a router that
+/// waits for its share sends less than it would. Demand therefore also grows while
+/// operations have to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShareDemand {
     granted: u64,
     waited: bool,
-    /// The next multiple, while windows in a row ran short.
+    /// The multiple for the next window with a shortage.
     factor: u64,
-    since: ClockTime,
-    /// What was sent, over some windows.
-    used: PlatformRate,
-    /// What a share that ran short asks for; it fades.
-    missed: PlatformRate,
+    window_start: ClockTime,
+    /// Moving average of the operations sent.
+    sent_rate: PlatformRate,
+    /// Demand due to a shortage; it decays once nothing waits.
+    shortage_rate: PlatformRate,
 }
 
 impl ShareDemand {
-    /// No demand yet.
+    /// Starts without any demand.
     #[must_use]
     pub const fn new(now: ClockTime) -> Self {
         Self {
             granted: 0,
             waited: false,
-            factor: SHORT_FACTOR,
-            since: now,
-            used: PlatformRate::ZERO,
-            missed: PlatformRate::ZERO,
+            factor: MIN_FACTOR,
+            window_start: now,
+            sent_rate: PlatformRate::ZERO,
+            shortage_rate: PlatformRate::ZERO,
         }
     }
 
-    /// An operation was sent.
-    pub const fn granted(&mut self) {
+    /// Records an operation that was sent.
+    pub const fn record_grant(&mut self) {
         self.granted += 1;
     }
 
-    /// An operation that may borrow had to wait.
-    pub const fn waited(&mut self) {
+    /// Records that an operation had to wait which may raise the demand.
+    pub const fn record_wait(&mut self) {
         self.waited = true;
     }
 
-    /// Whether the share ran short in this window or the one before.
+    /// Whether operations had to wait in this window or the one before.
     #[must_use]
     pub const fn is_short(&self) -> bool {
-        self.waited || self.factor > SHORT_FACTOR
+        self.waited || self.factor > MIN_FACTOR
     }
 
-    /// The demand, measured anew once a window has passed; `rate` is what the
-    /// share gives now.
-    pub fn review(&mut self, rate: PlatformRate, now: ClockTime) -> PlatformRate {
-        let passed = now.since(self.since);
-        if passed >= WINDOW {
-            self.measure(rate, passed);
-            self.since = now;
+    /// Returns the demand, measured again once a window has passed. `rate` is the
+    /// current rate of the share.
+    pub fn update(&mut self, rate: PlatformRate, now: ClockTime) -> PlatformRate {
+        let elapsed = now.since(self.window_start);
+        if elapsed >= MEASURE_WINDOW {
+            self.measure(rate, elapsed);
+            self.window_start = now;
         }
-        // Room for what comes in bunches.
-        self.used.part(2, 1).max(self.missed)
+        // Twice the mean leaves room for bursts.
+        self.sent_rate.fraction(2, 1).max(self.shortage_rate)
     }
 
-    fn measure(&mut self, rate: PlatformRate, passed: ClockSpan) {
-        let used = self.granted.saturating_mul(MILLI * MILLI) / passed.as_millis();
-        let used = PlatformRate::from_milli(used);
-        self.used = self.used.part(7, 8).plus(used.part(1, 8));
-        self.missed = self.missed.part(7, 8);
+    fn measure(&mut self, rate: PlatformRate, elapsed: ClockSpan) {
+        let sent_rate = self.granted.saturating_mul(MILLI * MILLI) / elapsed.as_millis();
+        let sent_rate = PlatformRate::from_milli(sent_rate);
+        self.sent_rate = self
+            .sent_rate
+            .fraction(7, 8)
+            .saturating_add(sent_rate.fraction(1, 8));
+        self.shortage_rate = self.shortage_rate.fraction(7, 8);
         if self.waited {
-            self.missed = self.missed.max(rate.part(self.factor, 1));
-            self.factor = (2 * self.factor).min(MOST_FACTOR);
+            self.shortage_rate = self.shortage_rate.max(rate.fraction(self.factor, 1));
+            self.factor = (2 * self.factor).min(MAX_FACTOR);
         } else {
-            self.factor = SHORT_FACTOR;
+            self.factor = MIN_FACTOR;
         }
         self.granted = 0;
         self.waited = false;
--- a/crates/guavawell-core/src/request/claim/step.rs
+++ b/crates/guavawell-core/src/request/claim/step.rs
@@ -9,7 +9,7 @@
 use crate::request::claim::row::ClaimState;
 use crate::request::identity::RequestIdentity;
 use crate::request::proof::SealProof;
-use crate::retention::TryStart;
+use crate::retention::AttemptStart;
 
 /// Maximum number of writes in one step. Each further write follows a failed
 /// condition, a read-back or a change of the generation.
@@ -107,7 +107,7 @@
     identity: RequestIdentity,
     goal: ClaimGoal,
     row: ClaimRow,
-    start: TryStart,
+    start: AttemptStart,
     generation: ClaimGeneration,
     expected: u64,
     writes: u8,
@@ -127,7 +127,7 @@
         attempt: AttemptId,
         router: InstanceIncarnation,
         at: ClockTime,
-        start: TryStart,
+        start: AttemptStart,
     ) -> Self {
         let state = match goal {
             ClaimGoal::Run => ClaimState::Claimed,
@@ -144,7 +144,7 @@
                 at,
             },
             start,
-            generation: start.begun,
+            generation: start.started_in,
             expected: 0,
             writes: 0,
             in_doubt: false,
@@ -181,7 +181,7 @@
     /// have been swept by now. Without that claim, the write could succeed
     /// although the request has run.
     fn continue_in(&mut self, current: ClaimGeneration) -> ClaimEffect {
-        if self.start.is_forgotten(current) {
+        if self.start.may_be_swept(current) {
             return self.done(ClaimOutcome::IdExpired);
         }
         if !self.start.may_write(current) {
--- a/crates/guavawell-core/src/retention/settings.rs
+++ b/crates/guavawell-core/src/retention/settings.rs
@@ -1,23 +1,23 @@
-//! Spans and rates of retention.
+//! Retention settings.
 
 use super::generation::KEPT_GENERATIONS;
 use crate::clock::ClockSpan;
 
-/// How long things are kept, and how fast the rest goes.
+/// How long claims are kept, and how often progress is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionSettings {
-    /// How long the claim of an id is kept at least after its last write; zero
-    /// keeps claims for ever.
+    /// Minimum time for which a claim is kept after its last write; zero keeps
+    /// claims forever.
     pub claims: ClockSpan,
-    /// Time between two writes of the sweep's progress.
-    pub note_every: ClockSpan,
+    /// Maximum time between two writes of the sweep's progress.
+    pub checkpoint_interval: ClockSpan,
 }
 
 impl Default for RetentionSettings {
     fn default() -> Self {
         Self {
             claims: ClockSpan::default(),
-            note_every: ClockSpan::from_millis(600_000),
+            checkpoint_interval: ClockSpan::from_millis(600_000),
         }
     }
 }
